--- a/crates/anvil_core/src/keys.rs
+++ b/crates/anvil_core/src/keys.rs
@@ -75,7 +75,7 @@
         let start = time::NodeTime::START;
         // Nothing is claimed ahead before there is a store to claim it in.
         let policy = policy::KeyPolicy {
-            claim_slots: 0,
+            claim_scan_slots: 0,
             ..policy::KeyPolicy::default()
         };
         Self {
@@ -130,10 +130,10 @@
             return false;
         };
         open.stage = calls::CallStage::Asking;
-        let ask = moment::KeyEvent::Ask {
+        let ask = moment::KeyEvent::Request {
             call,
             key,
-            print: open.context.print,
+            fingerprint: open.context.print,
             wait: open.deadline.since(self.now).min(KEY_WAIT),
         };
         self.tell_keyed(sequence, notes::KeyedStep::Asked);
@@ -180,8 +180,8 @@
             call,
             step: notes::KeyedStep::Settled { verdict },
         })));
-        let end = call_end(verdict, answer);
-        self.step_keys(moment::KeyEvent::Ended { call, end });
+        let outcome = call_end(verdict, answer);
+        self.step_keys(moment::KeyEvent::Ended { call, outcome });
     }
 
     pub(crate) fn key_arrived(&mut self, from: ident::NodeId, frame: key::KeyFrame) {
@@ -247,9 +247,9 @@
     }
 
     pub(crate) fn key_store_answered(&mut self, id: store::StoreId, outcome: store::StoreOutcome) {
-        let id = once::AskId(id.sequence);
+        let id = once::SlotRequestId(id.sequence);
         let reply = self.store_reply(outcome);
-        self.step_keys(moment::KeyEvent::Store { id, reply });
+        self.step_keys(moment::KeyEvent::StoreReplied { id, reply });
     }
 
     pub(crate) fn wake_keys(&mut self) {
@@ -287,7 +287,7 @@
             once::KeyEffect::Send { to, message } => self.send_key(to, message),
             once::KeyEffect::Dispatch { call } => self.key_granted(call.sequence),
             once::KeyEffect::Decide { call, verdict } => self.key_decided(call.sequence, verdict),
-            once::KeyEffect::AskStore { id, ask } => self.ask_key_store(id, &ask),
+            once::KeyEffect::RequestSlot { id, request: ask } => self.ask_key_store(id, &ask),
             once::KeyEffect::Report(text) => {
                 self.report(effect::StateChange::Part { part: PART, text });
             }
@@ -327,12 +327,12 @@
         }
     }
 
-    fn ask_key_store(&mut self, id: once::AskId, ask: &once::StoreAsk) {
+    fn ask_key_store(&mut self, id: once::SlotRequestId, ask: &once::SlotRequest) {
         let ask = match ask {
-            once::StoreAsk::Read { slot } => store::StoreAsk::Get {
+            once::SlotRequest::Read { slot } => store::StoreAsk::Get {
                 key: key::slot_key(*slot),
             },
-            once::StoreAsk::Swap { expected, view } => {
+            once::SlotRequest::Swap { expected, view } => {
                 let Ok(value) = key::encode_view(view) else {
                     return;
                 };
@@ -352,22 +352,22 @@
         self.effects.push(effect::NodeEffect::AskStore { id, ask });
     }
 
-    fn store_reply(&mut self, outcome: store::StoreOutcome) -> moment::StoreReply {
+    fn store_reply(&mut self, outcome: store::StoreOutcome) -> moment::SlotReply {
         match outcome {
             store::StoreOutcome::Done(store::StoreReply::Swapped { version }) => {
-                moment::StoreReply::Swapped { version: version.0 }
+                moment::SlotReply::Swapped { version: version.0 }
             }
             store::StoreOutcome::Done(store::StoreReply::Entry(entry)) => {
                 match self.record(entry) {
-                    Ok(found) => moment::StoreReply::Found(found),
-                    Err(()) => moment::StoreReply::Unknown,
+                    Ok(found) => moment::SlotReply::Found(found),
+                    Err(()) => moment::SlotReply::Unknown,
                 }
             }
             store::StoreOutcome::Conflict { current } => match self.record(current) {
-                Ok(found) => moment::StoreReply::Conflict(found),
-                Err(()) => moment::StoreReply::Unknown,
+                Ok(found) => moment::SlotReply::Conflict(found),
+                Err(()) => moment::SlotReply::Unknown,
             },
-            _ => moment::StoreReply::Unknown,
+            _ => moment::SlotReply::Unknown,
         }
     }
 
@@ -388,15 +388,18 @@
     }
 }
 
-fn call_end(verdict: verdict::CallVerdict, answer: Option<&call::CallAnswer>) -> moment::CallEnd {
+fn call_end(
+    verdict: verdict::CallVerdict,
+    answer: Option<&call::CallAnswer>,
+) -> moment::CallOutcome {
     match (verdict, answer) {
         (verdict::CallVerdict::Answered, Some(answer)) => {
-            moment::CallEnd::Answered(Box::new(answer.clone()))
+            moment::CallOutcome::Answered(Box::new(answer.clone()))
         }
         (verdict::CallVerdict::Answered, None) => {
-            moment::CallEnd::MayHaveRun(verdict::DoubtReason::AnswerCut)
+            moment::CallOutcome::MayHaveRun(verdict::DoubtReason::AnswerCut)
         }
-        (verdict::CallVerdict::NotRun(_), _) => moment::CallEnd::NotRun,
-        (verdict::CallVerdict::MayHaveRun(reason), _) => moment::CallEnd::MayHaveRun(reason),
+        (verdict::CallVerdict::NotRun(_), _) => moment::CallOutcome::NotRun,
+        (verdict::CallVerdict::MayHaveRun(reason), _) => moment::CallOutcome::MayHaveRun(reason),
     }
 }
--- a/crates/anvil_core/src/rulebook.rs
+++ b/crates/anvil_core/src/rulebook.rs
@@ -47,7 +47,7 @@
     pub fn names_service(&self, service: &name::ServiceName) -> bool {
         let mut destinations = self.document.rules().iter();
         destinations.any(|rule| match &rule.then.send_to {
-            Some(send_to) => send_to.names(service),
+            Some(send_to) => send_to.includes(service),
             None => false,
         })
     }
--- a/crates/anvil_ctl/src/arguments.rs
+++ b/crates/anvil_ctl/src/arguments.rs
@@ -327,7 +327,7 @@
 }
 
 fn read_span(text: &str) -> Result<Duration, String> {
-    let span = duration::read(text).filter(|span| !span.is_zero());
+    let span = duration::parse(text).filter(|span| !span.is_zero());
     span.ok_or_else(|| "a duration such as 500ms or 30s is expected".to_owned())
 }
 
--- a/crates/anvil_node/src/admin/server.rs
+++ b/crates/anvil_node/src/admin/server.rs
@@ -20,7 +20,7 @@
 const ANSWER_WAIT: Duration = Duration::from_secs(10);
 
 /// Largest body, in bytes: the longest rules that are read.
-const BODY_LIMIT: u64 = yaml::TEXT_LIMIT as u64;
+const BODY_LIMIT: u64 = yaml::MAX_TEXT_BYTES as u64;
 
 /// What each question works with.
 #[derive(Clone, Debug)]
--- a/crates/anvil_once/examples/key_figures.rs
+++ b/crates/anvil_once/examples/key_figures.rs
@@ -31,7 +31,7 @@
     let retention = policy.retention.as_secs_f64();
     let slots_of_node = slots / TARGETS;
     // Each change of a slot is a read and a swap; each primary's record is read to confirm it.
-    let confirm = slots / policy.confirm_every.as_secs_f64();
+    let confirm = slots / policy.confirm_interval.as_secs_f64();
     let single = CHANGES / DAY * slots_of_node * 2.0 + confirm;
     let pairs = CHANGES / DAY * slots_of_node * 2.0 * 2.0 + confirm;
     let batch = TARGETS / STORE_WRITES;
@@ -86,7 +86,7 @@
     println!("bytes of one record with its age line: {record}");
     println!(
         "records in one slot: {records:.0} of {} allowed",
-        policy.record_limit
+        policy.max_records
     );
     println!("MB in one slot: {:.1}", records * record as f64 / 1e6);
     println!("roles of one node at 14,000: {:.2}", slots_of_node * 2.0);
--- a/crates/anvil_once/src/adopt.rs
+++ b/crates/anvil_once/src/adopt.rs
@@ -33,7 +33,7 @@
         from: ident::NodeId,
         view: &key::SlotView,
     ) -> Option<time::NodeTime> {
-        let span = u64::try_from(self.policy.confirm_every.as_micros()).unwrap_or(u64::MAX);
+        let span = u64::try_from(self.policy.confirm_interval.as_micros()).unwrap_or(u64::MAX);
         (from == view.proposer).then(|| time::NodeTime(now.0.saturating_sub(span)))
     }
 
--- a/crates/anvil_once/src/change.rs
+++ b/crates/anvil_once/src/change.rs
@@ -23,7 +23,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct SlotChange {
     slot: key::SlotId,
-    id: effect::AskId,
+    id: effect::SlotRequestId,
     sent: time::NodeTime,
     stage: ChangeStage,
 }
@@ -55,14 +55,17 @@
         now: time::NodeTime,
         policy: &policy::KeyPolicy,
     ) -> Result<(), time::NodeTime> {
-        let interval = policy.store_interval;
+        let interval = policy.store_request_interval;
         if interval.is_zero() {
             return Ok(());
         }
         let count = now.since(self.earned).as_micros() / interval.as_micros();
         let count = u32::try_from(count).unwrap_or(u32::MAX);
         self.earned = self.earned + interval.saturating_mul(count);
-        self.tokens = self.tokens.saturating_add(count).min(policy.store_burst);
+        self.tokens = self
+            .tokens
+            .saturating_add(count)
+            .min(policy.store_request_burst);
         if self.tokens < CHANGE_COST {
             return Err(self.earned + interval * CHANGE_COST);
         }
@@ -90,21 +93,21 @@
             self.wake_at(earned);
             return;
         }
-        let ask = effect::StoreAsk::Read { slot };
-        self.ask_store(now, slot, ChangeStage::Reading, ask);
+        let request = effect::SlotRequest::Read { slot };
+        self.ask_store(now, slot, ChangeStage::Reading, request);
     }
 
     pub(crate) fn take_reply(
         &mut self,
         now: time::NodeTime,
-        id: effect::AskId,
-        reply: event::StoreReply,
+        id: effect::SlotRequestId,
+        reply: event::SlotReply,
     ) {
         let Some(at) = self.changes.iter().position(|change| change.id == id) else {
             return;
         };
         let change = self.changes[at];
-        if reply == event::StoreReply::Unknown {
+        if reply == event::SlotReply::Unknown {
             self.rest(now, at);
             return;
         }
@@ -112,16 +115,16 @@
         self.changes.remove(at);
         let sent = Some(change.sent);
         match (reply, change.stage) {
-            (event::StoreReply::Found(found), _) => {
+            (event::SlotReply::Found(found), _) => {
                 if let Some((view, _)) = found {
                     self.learn(now, view, sent);
                 }
                 self.propose(now, change.slot, found);
             }
-            (event::StoreReply::Swapped { .. }, ChangeStage::Swapping(view)) => {
+            (event::SlotReply::Swapped { .. }, ChangeStage::Swapping(view)) => {
                 self.learn(now, view, sent);
             }
-            (event::StoreReply::Conflict(Some((view, _))), _) => {
+            (event::SlotReply::Conflict(Some((view, _))), _) => {
                 self.counters.store_conflict += 1;
                 self.learn(now, view, sent);
             }
@@ -163,8 +166,8 @@
             return;
         };
         let expected = found.map(|(_, version)| version);
-        let ask = effect::StoreAsk::Swap { expected, view };
-        self.ask_store(now, slot, ChangeStage::Swapping(view), ask);
+        let request = effect::SlotRequest::Swap { expected, view };
+        self.ask_store(now, slot, ChangeStage::Swapping(view), request);
     }
 
     /// Asks the store about every owned slot whose owners should change.
@@ -179,7 +182,7 @@
 
     pub(crate) fn tick_changes(&mut self, now: time::NodeTime) {
         self.check_slots(now);
-        let every = self.policy.confirm_every;
+        let every = self.policy.confirm_interval;
         let due = |owned: &&role::OwnedSlot| {
             let confirmed = owned.primary().map(|role| role.confirmed);
             confirmed.is_some_and(|at| at.is_none_or(|at| now.since(at) >= every))
@@ -215,7 +218,7 @@
         if self.leaving || now.since(self.started) < self.policy.claim_delay {
             return;
         }
-        for _ in 0..self.policy.claim_slots {
+        for _ in 0..self.policy.claim_scan_slots {
             let slot = key::SlotId(self.claim_next);
             self.claim_next = (self.claim_next + 1) % slots::SLOT_COUNT;
             if self.views.get(slot).is_none() && self.preferred(slot) == Some(self.own) {
@@ -229,11 +232,11 @@
         now: time::NodeTime,
         slot: key::SlotId,
         stage: ChangeStage,
-        ask: effect::StoreAsk,
+        request: effect::SlotRequest,
     ) {
         self.last_ask += 1;
         self.counters.store_asked += 1;
-        let id = effect::AskId(self.last_ask);
+        let id = effect::SlotRequestId(self.last_ask);
         let change = SlotChange {
             slot,
             id,
@@ -242,7 +245,7 @@
         };
         let (Ok(at) | Err(at)) = self.change_place(slot);
         self.changes.insert(at, change);
-        self.push(effect::KeyEffect::AskStore { id, ask });
+        self.push(effect::KeyEffect::RequestSlot { id, request });
     }
 
     fn change_place(&self, slot: key::SlotId) -> Result<usize, usize> {
--- a/crates/anvil_once/src/effect.rs
+++ b/crates/anvil_once/src/effect.rs
@@ -6,11 +6,11 @@
 
 /// One question of the key owners to the store.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct AskId(pub u64);
+pub struct SlotRequestId(pub u64);
 
 /// A question of the key owners to the store.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum StoreAsk {
+pub enum SlotRequest {
     /// Read the record of a slot.
     Read {
         /// The slot.
@@ -59,11 +59,11 @@
         verdict: KeyVerdict,
     },
     /// Ask the store.
-    AskStore {
+    RequestSlot {
         /// Names the question.
-        id: AskId,
+        id: SlotRequestId,
         /// The question.
-        ask: StoreAsk,
+        request: SlotRequest,
     },
     /// A change of state worth a log line.
     Report(String),
--- a/crates/anvil_once/src/entry.rs
+++ b/crates/anvil_once/src/entry.rs
@@ -68,7 +68,7 @@
 
 impl owner::KeyOwner {
     pub(crate) fn ask(&mut self, now: time::NodeTime, question: KeyQuestion, wait: Duration) {
-        if self.asks.len() >= self.policy.ask_limit {
+        if self.asks.len() >= self.policy.max_requests {
             let reason = verdict::RefusalReason::KeyUnavailable;
             self.decide(question.call, effect::KeyVerdict::NotRun(reason));
             return;
@@ -96,19 +96,24 @@
         }
     }
 
-    pub(crate) fn end(&mut self, now: time::NodeTime, call: ident::CallId, end: event::CallEnd) {
+    pub(crate) fn end(
+        &mut self,
+        now: time::NodeTime,
+        call: ident::CallId,
+        end: event::CallOutcome,
+    ) {
         let Ok(at) = self.ask_place(call) else { return };
         if self.asks[at].state != AskState::Granted {
             return;
         }
         let outcome = match end {
-            event::CallEnd::Answered(answer) => key::KeyOutcome::Answered(Some(answer)),
-            event::CallEnd::NotRun => key::KeyOutcome::NotRun,
-            event::CallEnd::MayHaveRun(reason) => key::KeyOutcome::MayHaveRun(reason),
+            event::CallOutcome::Answered(answer) => key::KeyOutcome::Answered(Some(answer)),
+            event::CallOutcome::NotRun => key::KeyOutcome::NotRun,
+            event::CallOutcome::MayHaveRun(reason) => key::KeyOutcome::MayHaveRun(reason),
         };
         let ask = &mut self.asks[at];
         ask.state = AskState::Ended(outcome);
-        ask.until = now + self.policy.longest_call;
+        ask.until = now + self.policy.max_call_duration;
         self.send_outcome(now, at);
     }
 
@@ -185,7 +190,7 @@
 
     /// Sends the outcomes of a slot to its new primary, or soon where the view is no news.
     pub(crate) fn resend_outcomes(&mut self, now: time::NodeTime, slot: key::SlotId, news: bool) {
-        let soon = now + self.policy.ask_retry;
+        let soon = now + self.policy.request_retry;
         for at in 0..self.asks.len() {
             let ask = &mut self.asks[at];
             let concerned = slots::slot_of(ask.question.key) == slot;
@@ -205,7 +210,7 @@
     }
 
     pub(crate) fn lose_messages(&mut self, now: time::NodeTime, node: ident::NodeId) {
-        let soon = now + self.policy.ask_retry;
+        let soon = now + self.policy.request_retry;
         for ask in &mut self.asks {
             if ask.target == node {
                 ask.tried += usize::from(!ask.answered);
@@ -285,7 +290,7 @@
 
     fn shelve(&mut self, now: time::NodeTime, at: usize, held: bool) {
         self.asks[at].state = AskState::Abandoned { held };
-        self.asks[at].until = now + self.policy.abandon_keep;
+        self.asks[at].until = now + self.policy.abandoned_retention;
     }
 
     fn return_grant(&mut self, to: ident::NodeId, call: ident::CallId, key: ident::RequestKey) {
@@ -333,7 +338,7 @@
     }
 
     fn repeat_later(&mut self, now: time::NodeTime, at: usize) {
-        let next = now + self.policy.ask_retry;
+        let next = now + self.policy.request_retry;
         self.asks[at].next = next;
         self.asks[at].answered = true;
         self.wake_at(next);
--- a/crates/anvil_once/src/event.rs
+++ b/crates/anvil_once/src/event.rs
@@ -9,7 +9,7 @@
 
 /// What the store answered to a question about a slot.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum StoreReply {
+pub enum SlotReply {
     /// The record read, with its version, or none where the slot has no record.
     Found(Option<(key::SlotView, u64)>),
     /// The swap took effect.
@@ -25,7 +25,7 @@
 
 /// How a granted call ended at its entry node.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum CallEnd {
+pub enum CallOutcome {
     /// Answered whole.
     Answered(Box<call::CallAnswer>),
     /// Proved not to have run; no attempt is out or will follow.
@@ -38,13 +38,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum KeyEvent {
     /// A call of this node wants to run a key.
-    Ask {
+    Request {
         /// The call; never used for another one.
         call: ident::CallId,
         /// The key.
         key: ident::RequestKey,
         /// The digest of the request.
-        print: ident::PrintHash,
+        fingerprint: ident::PrintHash,
         /// How long an answer is waited for.
         wait: Duration,
     },
@@ -58,7 +58,7 @@
         /// The call.
         call: ident::CallId,
         /// How.
-        end: CallEnd,
+        outcome: CallOutcome,
     },
     /// A message from another node.
     Message {
@@ -75,11 +75,11 @@
     /// Membership changed.
     Peer(peers::KeyPeer),
     /// The store answered.
-    Store {
+    StoreReplied {
         /// Which question.
-        id: effect::AskId,
+        id: effect::SlotRequestId,
         /// The answer.
-        reply: StoreReply,
+        reply: SlotReply,
     },
     /// Time has passed.
     Tick,
--- a/crates/anvil_once/src/grant.rs
+++ b/crates/anvil_once/src/grant.rs
@@ -47,7 +47,7 @@
             return self.judge_known(now, question, entry, &role.pending);
         }
         let copying = role.copy.is_some();
-        let full = owned.table.len() >= self.policy.record_limit;
+        let full = owned.table.len() >= self.policy.max_records;
         let doubt = owned.doubt.is_some_and(|until| now < until);
         if let Some(refusal) = self.unconfirmed(now, role) {
             self.begin_change(now, slot);
@@ -85,7 +85,7 @@
     ) -> Option<key::KeyRefusal> {
         match role.confirmed {
             None => Some(key::KeyRefusal::Busy),
-            Some(at) if now.since(at) > self.policy.confirm_limit => {
+            Some(at) if now.since(at) > self.policy.max_unconfirmed => {
                 Some(key::KeyRefusal::Unavailable)
             }
             Some(_) => None,
@@ -99,7 +99,7 @@
         entry: &table::KeyEntry,
         pending: &[role::PendingGrant],
     ) -> AskJudgement {
-        if entry.print != question.print {
+        if entry.fingerprint != question.print {
             return AskJudgement::Refuse(key::KeyRefusal::Mismatch);
         }
         let refusal = match &entry.state {
@@ -118,7 +118,7 @@
             }
             key::RecordState::Held => key::KeyRefusal::MayHaveRun(self.doubt_of(now, entry)),
             key::RecordState::Answered(Some(answer)) => key::KeyRefusal::Answered(answer.clone()),
-            key::RecordState::Answered(None) => key::KeyRefusal::MayHaveRun(table::ANSWER_GONE),
+            key::RecordState::Answered(None) => key::KeyRefusal::MayHaveRun(table::ANSWER_DROPPED),
             key::RecordState::Doubtful(reason) => key::KeyRefusal::MayHaveRun(*reason),
         };
         AskJudgement::Refuse(refusal)
@@ -128,7 +128,7 @@
         if self.is_missing(now, entry.call.node, Duration::ZERO) {
             return verdict::DoubtReason::NodeLost;
         }
-        if now.since(entry.recorded) >= self.policy.longest_call {
+        if now.since(entry.recorded_at) >= self.policy.max_call_duration {
             return verdict::DoubtReason::Deadline;
         }
         verdict::DoubtReason::InProgress
@@ -172,10 +172,10 @@
         let order = owned.next_order();
         let entry = table::KeyEntry {
             key,
-            print,
+            fingerprint: print,
             call,
             order,
-            recorded: now,
+            recorded_at: now,
             state: key::RecordState::Held,
         };
         let record = entry.to_record(now);
--- a/crates/anvil_once/src/handover.rs
+++ b/crates/anvil_once/src/handover.rs
@@ -83,7 +83,7 @@
         part: u32,
         after: Option<ident::RequestKey>,
     ) {
-        let limit = self.policy.copy_part;
+        let limit = self.policy.copy_part_records;
         let retry = now + self.policy.send_retry;
         let Some(owned) = self.owned_mut(slot) else {
             return;
@@ -116,7 +116,7 @@
         // A backup without the earlier records would take their keys for new once it takes over,
         // and grant them again. It counts as whole only with the last part.
         let guarded = self.policy.guards.copy_records;
-        let entries = owned.table.part(copy.after, self.policy.copy_part);
+        let entries = owned.table.part(copy.after, self.policy.copy_part_records);
         let within = |key: ident::RequestKey| guarded && copy.end.is_some_and(|end| key <= end);
         let entries = entries.into_iter().filter(|entry| within(entry.key));
         let doubt = owned.doubt.map_or(Duration::ZERO, |until| until.since(now));
--- a/crates/anvil_once/src/owner.rs
+++ b/crates/anvil_once/src/owner.rs
@@ -74,7 +74,7 @@
             slots: Vec::new(),
             changes: Vec::new(),
             last_ask: 0,
-            pace: change::StorePace::new(now, policy.store_burst),
+            pace: change::StorePace::new(now, policy.store_request_burst),
             store_out: false,
             claim_next: 0,
             leaving: false,
@@ -89,24 +89,24 @@
     pub fn set_policy(&mut self, now: time::NodeTime, policy: policy::KeyPolicy) {
         self.started = now;
         self.policy = policy;
-        self.pace = change::StorePace::new(now, policy.store_burst);
+        self.pace = change::StorePace::new(now, policy.store_request_burst);
     }
 
     /// Takes in one event and returns what is to be done, in order.
     pub fn step(&mut self, now: time::NodeTime, event: event::KeyEvent) -> Vec<effect::KeyEffect> {
         match event {
-            event::KeyEvent::Ask {
+            event::KeyEvent::Request {
                 call,
                 key,
-                print,
+                fingerprint: print,
                 wait,
             } => self.ask(now, entry::KeyQuestion { call, key, print }, wait),
             event::KeyEvent::Abandon { call } => self.abandon(now, call),
-            event::KeyEvent::Ended { call, end } => self.end(now, call, end),
+            event::KeyEvent::Ended { call, outcome: end } => self.end(now, call, end),
             event::KeyEvent::Message { from, message } => self.receive(now, from, message),
             event::KeyEvent::Unreachable { node } => self.lose_messages(now, node),
             event::KeyEvent::Peer(peer) => self.update_peer(now, peer),
-            event::KeyEvent::Store { id, reply } => self.take_reply(now, id, reply),
+            event::KeyEvent::StoreReplied { id, reply } => self.take_reply(now, id, reply),
             event::KeyEvent::Tick => self.tick(now),
             event::KeyEvent::Leave => self.leave(now),
         }
@@ -119,7 +119,7 @@
     /// When [`event::KeyEvent::Tick`] is next of use; none where nothing is owned or asked.
     pub fn next_wake(&self) -> Option<time::NodeTime> {
         let idle = self.asks.is_empty() && self.slots.is_empty() && self.changes.is_empty();
-        let idle = idle && self.policy.claim_slots == 0;
+        let idle = idle && self.policy.claim_scan_slots == 0;
         (!idle).then_some(self.wake.0)
     }
 
@@ -141,9 +141,9 @@
     /// nobody is itself the one cut off: it would take every slot from owners that are well.
     fn unknown_wait(&self) -> Duration {
         if self.is_alone() {
-            self.policy.confirm_limit
+            self.policy.max_unconfirmed
         } else {
-            self.policy.orphan_wait
+            self.policy.orphan_timeout
         }
     }
 
--- a/crates/anvil_once/src/policy.rs
+++ b/crates/anvil_once/src/policy.rs
@@ -11,41 +11,41 @@
     /// How long a key is remembered.
     pub retention: Duration,
     /// Longest time from a caller's question to the use of a grant; also the longest deadline.
-    pub longest_call: Duration,
+    pub max_call_duration: Duration,
     /// How long a primary grants without having read its own record in the store.
-    pub confirm_limit: Duration,
+    pub max_unconfirmed: Duration,
     /// How often a primary reads its own record in the store.
-    pub confirm_every: Duration,
+    pub confirm_interval: Duration,
     /// Pause before a question is repeated.
-    pub ask_retry: Duration,
+    pub request_retry: Duration,
     /// Pause before an unacknowledged record, copy or outcome is repeated.
     pub send_retry: Duration,
     /// Pause before the store is asked again about a slot.
     pub store_retry: Duration,
     /// Time in which a node earns one more question to the store; zero for no bound.
-    pub store_interval: Duration,
+    pub store_request_interval: Duration,
     /// Questions to the store that may follow one another at once.
-    pub store_burst: u32,
+    pub store_request_burst: u32,
     /// How long an answer of the store is waited for.
     pub store_timeout: Duration,
     /// How long both owners of a slot are missing before a third node takes it without records.
-    pub orphan_wait: Duration,
+    pub orphan_timeout: Duration,
     /// How long an entry node remembers a question that it gave up.
-    pub abandon_keep: Duration,
+    pub abandoned_retention: Duration,
     /// Slots looked at in each tick for one that nobody owns yet; zero claims on demand only.
-    pub claim_slots: u16,
+    pub claim_scan_slots: u16,
     /// How long a node waits for membership to settle before it claims ahead.
     pub claim_delay: Duration,
     /// Questions and outcomes that an entry node holds at once.
-    pub ask_limit: usize,
+    pub max_requests: usize,
     /// Records that a node holds in one slot.
-    pub record_limit: usize,
+    pub max_records: usize,
     /// Bytes of answers that a node keeps in one slot.
-    pub answer_bytes: usize,
+    pub max_answer_bytes: usize,
     /// Largest answer kept, in bytes of its body.
-    pub answer_limit: usize,
+    pub max_cached_answer_bytes: usize,
     /// Records in one part of a copy.
-    pub copy_part: usize,
+    pub copy_part_records: usize,
     /// Safeguards; all on but in the experiments that show what each is for.
     pub guards: KeyGuards,
 }
@@ -86,24 +86,24 @@
     fn default() -> Self {
         Self {
             retention: Duration::from_secs(3_600),
-            longest_call: Duration::from_secs(600),
-            confirm_limit: Duration::from_secs(1_800),
-            confirm_every: Duration::from_secs(300),
-            ask_retry: Duration::from_millis(25),
+            max_call_duration: Duration::from_secs(600),
+            max_unconfirmed: Duration::from_secs(1_800),
+            confirm_interval: Duration::from_secs(300),
+            request_retry: Duration::from_millis(25),
             send_retry: Duration::from_millis(250),
             store_retry: Duration::from_secs(1),
-            store_interval: Duration::from_millis(20),
-            store_burst: 128,
+            store_request_interval: Duration::from_millis(20),
+            store_request_burst: 128,
             store_timeout: Duration::from_secs(3),
-            orphan_wait: Duration::from_secs(30),
-            abandon_keep: Duration::from_secs(60),
-            claim_slots: 32,
+            orphan_timeout: Duration::from_secs(30),
+            abandoned_retention: Duration::from_secs(60),
+            claim_scan_slots: 32,
             claim_delay: Duration::from_secs(5),
-            ask_limit: 4_096,
-            record_limit: 320_000,
-            answer_bytes: 256 * 1024,
-            answer_limit: 16 * 1024,
-            copy_part: 512,
+            max_requests: 4_096,
+            max_records: 320_000,
+            max_answer_bytes: 256 * 1024,
+            max_cached_answer_bytes: 16 * 1024,
+            copy_part_records: 512,
             guards: KeyGuards::ALL,
         }
     }
--- a/crates/anvil_once/src/proposal.rs
+++ b/crates/anvil_once/src/proposal.rs
@@ -59,7 +59,7 @@
                 let next = self.successor(view, self.own, &[]);
                 let gone = role
                     .backup
-                    .is_some_and(|backup| self.is_missing(now, backup, self.policy.orphan_wait));
+                    .is_some_and(|backup| self.is_missing(now, backup, self.policy.orphan_timeout));
                 // A primary that hears nobody may itself be the one cut off: its backup gets the
                 // time to take over before the primary goes on alone.
                 (next.backup.is_some() || gone).then_some(next)
@@ -78,7 +78,7 @@
 
     /// Both owners are missing, or the one left has no whole copy: the records are lost.
     fn orphan_proposal(&self, now: time::NodeTime, view: &key::SlotView) -> Option<key::SlotView> {
-        let wait = self.policy.orphan_wait;
+        let wait = self.policy.orphan_timeout;
         let gone = |node: ident::NodeId| node == self.own || self.is_missing(now, node, wait);
         let orphaned = gone(view.primary) && view.backup.is_none_or(gone);
         let next = key::SlotView {
--- a/crates/anvil_once/src/settle.rs
+++ b/crates/anvil_once/src/settle.rs
@@ -25,7 +25,7 @@
             }
             return;
         }
-        match table::state_after(outcome, self.policy.answer_limit) {
+        match table::state_after(outcome, self.policy.max_cached_answer_bytes) {
             None => self.free(slot, call, key),
             Some(state) => self.keep_state(now, slot, holder, state),
         }
@@ -72,7 +72,7 @@
         state: key::RecordState,
     ) {
         let (call, key) = holder;
-        let answer_bytes = self.policy.answer_bytes;
+        let answer_bytes = self.policy.max_answer_bytes;
         let Some(owned) = self.owned_mut(slot) else {
             return;
         };
--- a/crates/anvil_once/src/table.rs
+++ b/crates/anvil_once/src/table.rs
@@ -18,13 +18,13 @@
     /// The key.
     pub key: ident::RequestKey,
     /// The digest of the request.
-    pub print: ident::PrintHash,
+    pub fingerprint: ident::PrintHash,
     /// The only call that may ever run the key.
     pub call: ident::CallId,
     /// The order of the last change.
     pub order: u64,
     /// When the key was recorded, on this node's clock.
-    pub recorded: time::NodeTime,
+    pub recorded_at: time::NodeTime,
     /// What is known.
     pub state: key::RecordState,
 }
@@ -32,10 +32,10 @@
 impl KeyEntry {
     /// The record as it travels.
     pub fn to_record(&self, now: time::NodeTime) -> key::KeyRecord {
-        let age = now.since(self.recorded).as_micros();
+        let age = now.since(self.recorded_at).as_micros();
         key::KeyRecord {
             key: self.key,
-            print: self.print,
+            print: self.fingerprint,
             call: self.call,
             order: self.order,
             age_micros: u64::try_from(age).unwrap_or(u64::MAX),
@@ -46,10 +46,10 @@
     fn from_record(now: time::NodeTime, record: key::KeyRecord) -> Self {
         Self {
             key: record.key,
-            print: record.print,
+            fingerprint: record.print,
             call: record.call,
             order: record.order,
-            recorded: time::NodeTime(now.0.saturating_sub(record.age_micros)),
+            recorded_at: time::NodeTime(now.0.saturating_sub(record.age_micros)),
             state: record.state,
         }
     }
@@ -128,7 +128,7 @@
         self.remove(entry.key);
         self.count += 1;
         self.bytes += entry.answer_bytes();
-        let line = (entry.recorded, entry.key);
+        let line = (entry.recorded_at, entry.key);
         let at = self.ages.partition_point(|age| *age < line);
         self.ages.insert(at, line);
         let at = self.make_bucket(entry.key);
@@ -174,7 +174,7 @@
         }
         self.bytes -= entry.answer_bytes();
         self.count -= 1;
-        let line = (entry.recorded, key);
+        let line = (entry.recorded_at, key);
         if let Ok(at) = self.ages.binary_search(&line) {
             self.ages.remove(at);
         }
@@ -242,7 +242,7 @@
 }
 
 /// What a duplicate of a recorded request is told where the holder's answer is not kept.
-pub const ANSWER_GONE: verdict::DoubtReason = verdict::DoubtReason::RecordLost;
+pub const ANSWER_DROPPED: verdict::DoubtReason = verdict::DoubtReason::RecordLost;
 
 fn answer_size(answer: &call::CallAnswer) -> usize {
     let line = |line: &call::HeaderLine| line.name.len() + line.value.len();
--- a/crates/anvil_once/tests/pair.rs
+++ b/crates/anvil_once/tests/pair.rs
@@ -68,17 +68,17 @@
             sequence: self.calls,
         };
         let told = self.told.len();
-        let ask = event::KeyEvent::Ask {
+        let ask = event::KeyEvent::Request {
             call,
             key: ident::RequestKey(key),
-            print: ident::PrintHash(print),
+            fingerprint: ident::PrintHash(print),
             wait: Duration::from_secs(2),
         };
         self.step(node, ask);
         self.pass(Duration::from_secs(3));
         if self.dispatched.contains(&call) {
-            let end = event::CallEnd::Answered(Box::new(answer()));
-            self.step(node, event::KeyEvent::Ended { call, end });
+            let outcome = event::CallOutcome::Answered(Box::new(answer()));
+            self.step(node, event::KeyEvent::Ended { call, outcome });
         }
         self.told.get(told).cloned()
     }
@@ -107,35 +107,35 @@
                 }
                 effect::KeyEffect::Dispatch { call } => self.dispatched.push(call),
                 effect::KeyEffect::Decide { verdict, .. } => self.told.push(verdict),
-                effect::KeyEffect::AskStore { id, ask } => {
+                effect::KeyEffect::RequestSlot { id, request: ask } => {
                     let reply = self.store(&ask);
-                    self.step(node, event::KeyEvent::Store { id, reply });
+                    self.step(node, event::KeyEvent::StoreReplied { id, reply });
                 }
                 effect::KeyEffect::Report(_) => {}
             }
         }
     }
 
-    fn store(&mut self, ask: &effect::StoreAsk) -> event::StoreReply {
+    fn store(&mut self, ask: &effect::SlotRequest) -> event::SlotReply {
         if self.store_down {
-            return event::StoreReply::Unknown;
+            return event::SlotReply::Unknown;
         }
         let find = |slot| self.records.iter().position(|record| record.0.slot == slot);
         match *ask {
-            effect::StoreAsk::Read { slot } => {
-                event::StoreReply::Found(find(slot).map(|at| self.records[at]))
+            effect::SlotRequest::Read { slot } => {
+                event::SlotReply::Found(find(slot).map(|at| self.records[at]))
             }
-            effect::StoreAsk::Swap { expected, view } => match (find(view.slot), expected) {
+            effect::SlotRequest::Swap { expected, view } => match (find(view.slot), expected) {
                 (None, None) => {
                     self.records.push((view, 1));
-                    event::StoreReply::Swapped { version: 1 }
+                    event::SlotReply::Swapped { version: 1 }
                 }
                 (Some(at), Some(version)) if self.records[at].1 == version => {
                     let version = version + 1;
                     self.records[at] = (view, version);
-                    event::StoreReply::Swapped { version }
+                    event::SlotReply::Swapped { version }
                 }
-                (at, _) => event::StoreReply::Conflict(at.map(|at| self.records[at])),
+                (at, _) => event::SlotReply::Conflict(at.map(|at| self.records[at])),
             },
         }
     }
@@ -166,8 +166,8 @@
 
 fn on_demand() -> policy::KeyPolicy {
     policy::KeyPolicy {
-        claim_slots: 0,
-        copy_part: 2,
+        claim_scan_slots: 0,
+        copy_part_records: 2,
         ..policy::KeyPolicy::default()
     }
 }
@@ -284,10 +284,10 @@
         node: ENTRY,
         sequence: pair.calls,
     };
-    let ask = event::KeyEvent::Ask {
+    let ask = event::KeyEvent::Request {
         call,
         key: ident::RequestKey(key_of_slot(1)),
-        print: ident::PrintHash(1),
+        fingerprint: ident::PrintHash(1),
         wait: Duration::from_secs(2),
     };
     pair.step(ENTRY, ask);
--- a/crates/anvil_once/tests/support/world.rs
+++ b/crates/anvil_once/tests/support/world.rs
@@ -76,8 +76,8 @@
     /// Sorted by digest, because the network keeps no order.
     pub(crate) net: Vec<Digested<Packet>>,
     record: Option<(key::SlotView, u64)>,
-    pub(crate) asks: Vec<(ident::NodeId, effect::AskId, effect::StoreAsk)>,
-    pub(crate) replies: Vec<(ident::NodeId, effect::AskId, event::StoreReply)>,
+    pub(crate) asks: Vec<(ident::NodeId, effect::SlotRequestId, effect::SlotRequest)>,
+    pub(crate) replies: Vec<(ident::NodeId, effect::SlotRequestId, event::SlotReply)>,
     pub(crate) submitted: Vec<ident::CallId>,
     pub(crate) running: Vec<ident::CallId>,
     /// The calls that ran the key.
@@ -91,12 +91,12 @@
 
 fn owner_policy(guards: policy::KeyGuards) -> policy::KeyPolicy {
     policy::KeyPolicy {
-        ask_retry: Duration::ZERO,
+        request_retry: Duration::ZERO,
         send_retry: Duration::ZERO,
         store_retry: Duration::ZERO,
-        orphan_wait: Duration::ZERO,
-        claim_slots: 0,
-        store_interval: Duration::ZERO,
+        orphan_timeout: Duration::ZERO,
+        claim_scan_slots: 0,
+        store_request_interval: Duration::ZERO,
         guards,
         ..policy::KeyPolicy::default()
     }
@@ -310,7 +310,7 @@
             WorldAction::Store(at, fate) => self.ask_store(*at, *fate),
             WorldAction::Reply(at) => {
                 let (node, id, reply) = self.replies.remove(*at);
-                self.step(node, event::KeyEvent::Store { id, reply });
+                self.step(node, event::KeyEvent::StoreReplied { id, reply });
             }
             WorldAction::Suspect(node, other) => {
                 self.budget.suspicions -= 1;
@@ -373,10 +373,10 @@
         };
         self.submitted.push(call);
         self.submitted.sort_unstable();
-        let ask = event::KeyEvent::Ask {
+        let ask = event::KeyEvent::Request {
             call,
             key: KEY,
-            print: ident::PrintHash(7),
+            fingerprint: ident::PrintHash(7),
             wait: Duration::from_secs(5),
         };
         self.step(node, ask);
@@ -397,13 +397,13 @@
             self.budget.lost_replies -= 1;
         }
         let reply = match (fate, ask) {
-            (StoreFate::NeverArrived, _) => event::StoreReply::Unknown,
-            (_, effect::StoreAsk::Read { .. }) => event::StoreReply::Found(self.record),
-            (_, effect::StoreAsk::Swap { expected, view }) => self.swap(expected, view),
+            (StoreFate::NeverArrived, _) => event::SlotReply::Unknown,
+            (_, effect::SlotRequest::Read { .. }) => event::SlotReply::Found(self.record),
+            (_, effect::SlotRequest::Swap { expected, view }) => self.swap(expected, view),
         };
         let lost = fate != StoreFate::Answered;
         let reply = if lost {
-            event::StoreReply::Unknown
+            event::SlotReply::Unknown
         } else {
             reply
         };
@@ -413,14 +413,14 @@
         }
     }
 
-    fn swap(&mut self, expected: Option<u64>, view: key::SlotView) -> event::StoreReply {
+    fn swap(&mut self, expected: Option<u64>, view: key::SlotView) -> event::SlotReply {
         let version = self.record.map(|record| record.1);
         if version != expected {
-            return event::StoreReply::Conflict(self.record);
+            return event::SlotReply::Conflict(self.record);
         }
         let version = version.unwrap_or(0) + 1;
         self.record = Some((view, version));
-        event::StoreReply::Swapped { version }
+        event::SlotReply::Swapped { version }
     }
 
     fn crash(&mut self, node: ident::NodeId) {
@@ -436,14 +436,14 @@
 
     fn end(&mut self, call: ident::CallId, fate: CallFate) {
         self.running.retain(|running| *running != call);
-        let end = match fate {
+        let outcome = match fate {
             CallFate::Answered => {
                 self.ran.push(call);
-                event::CallEnd::Answered(Box::new(claim_answer()))
+                event::CallOutcome::Answered(Box::new(claim_answer()))
             }
             CallFate::NotRun => {
                 self.budget.not_runs -= 1;
-                event::CallEnd::NotRun
+                event::CallOutcome::NotRun
             }
         };
         let verdict = match fate {
@@ -451,7 +451,7 @@
             CallFate::NotRun => effect::KeyVerdict::NotRun(verdict::RefusalReason::Unreachable),
         };
         self.tell(call, verdict);
-        self.step(call.node, event::KeyEvent::Ended { call, end });
+        self.step(call.node, event::KeyEvent::Ended { call, outcome });
     }
 
     fn tell(&mut self, call: ident::CallId, verdict: effect::KeyVerdict) {
@@ -485,7 +485,7 @@
                 self.running.sort_unstable();
             }
             effect::KeyEffect::Decide { call, verdict } => self.tell(call, verdict),
-            effect::KeyEffect::AskStore { id, ask } => {
+            effect::KeyEffect::RequestSlot { id, request: ask } => {
                 self.asks.push((from, id, ask));
                 self.asks.sort_by_key(|ask| (ask.0, ask.1));
             }
--- a/crates/anvil_rules/src/account.rs
+++ b/crates/anvil_rules/src/account.rs
@@ -8,10 +8,10 @@
 use crate::change;
 
 /// Most accounts of one document.
-pub const ACCOUNT_LIMIT: usize = 10_000;
+pub const MAX_ACCOUNTS: usize = 10_000;
 
 /// Most keys of one account; a change of keys needs two for a while.
-pub const KEYS_LIMIT: usize = 64;
+pub const MAX_KEYS_PER_ACCOUNT: usize = 64;
 
 /// One client account.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -55,8 +55,8 @@
 
     /// Checks a table from elsewhere.
     pub(crate) fn check(&self) -> Result<(), change::ChangeConflict> {
-        if self.accounts.len() > ACCOUNT_LIMIT {
-            let limit = ACCOUNT_LIMIT;
+        if self.accounts.len() > MAX_ACCOUNTS {
+            let limit = MAX_ACCOUNTS;
             return Err(change::ChangeConflict::TooManyAccounts { limit });
         }
         for pair in self.accounts.windows(2) {
--- a/crates/anvil_rules/src/change.rs
+++ b/crates/anvil_rules/src/change.rs
@@ -150,7 +150,7 @@
 }
 
 fn check_count(count: usize) -> Result<(), ChangeConflict> {
-    let limit = document::RULE_LIMIT;
+    let limit = document::MAX_RULES;
     if count > limit {
         return Err(ChangeConflict::TooMany { limit });
     }
--- a/crates/anvil_rules/src/codec.rs
+++ b/crates/anvil_rules/src/codec.rs
@@ -9,13 +9,13 @@
 use crate::{change, document};
 
 /// The format written, and the only one read.
-pub const FORMAT: u8 = 2;
+pub const FORMAT_VERSION: u8 = 2;
 
 /// Why bytes were refused.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error)]
 pub enum CodecError {
     /// Another version wrote them.
-    #[display("format {found} is not the format {FORMAT} of this version")]
+    #[display("format {found} is not the format {FORMAT_VERSION} of this version")]
     Format {
         /// The format found.
         found: u8,
@@ -62,7 +62,7 @@
 where
     T: Serialize,
 {
-    let bytes = postcard::to_extend(value, vec![FORMAT]);
+    let bytes = postcard::to_extend(value, vec![FORMAT_VERSION]);
     bytes.map_err(|error| malformed(&error))
 }
 
@@ -73,7 +73,7 @@
     let (format, rest) = bytes.split_first().ok_or_else(|| CodecError::Malformed {
         reason: "there are none".to_owned(),
     })?;
-    if *format != FORMAT {
+    if *format != FORMAT_VERSION {
         return Err(CodecError::Format { found: *format });
     }
     let (value, rest) = postcard::take_from_bytes(rest).map_err(|error| malformed(&error))?;
--- a/crates/anvil_rules/src/condition.rs
+++ b/crates/anvil_rules/src/condition.rs
@@ -68,11 +68,11 @@
 impl RuleCondition {
     /// Tells whether the condition holds for `request`.
     pub fn matches(&self, request: &view::RequestView<'_>) -> bool {
-        self.first_miss(request).is_none()
+        self.first_mismatch(request).is_none()
     }
 
     /// The first part that doesn't hold for `request`, or none where all hold.
-    pub fn first_miss(&self, request: &view::RequestView<'_>) -> Option<ConditionPart> {
+    pub fn first_mismatch(&self, request: &view::RequestView<'_>) -> Option<ConditionPart> {
         if !self.holds_host(request) {
             return Some(ConditionPart::Host);
         }
--- a/crates/anvil_rules/src/destination.rs
+++ b/crates/anvil_rules/src/destination.rs
@@ -5,10 +5,10 @@
 use serde::{Deserialize, Serialize};
 
 /// Most services that one rule divides its requests among.
-pub const PART_LIMIT: usize = 64;
+pub const MAX_SPLIT_PARTS: usize = 64;
 
 /// Largest weight of one part; all parts together stay far below what a sum can hold.
-pub const WEIGHT_LIMIT: u32 = 1_000_000;
+pub const MAX_WEIGHT: u32 = 1_000_000;
 
 /// One service and its share of the requests.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
@@ -33,7 +33,7 @@
 
 impl RuleDestination {
     /// Whether requests may be sent to `service`.
-    pub fn names(&self, service: &name::ServiceName) -> bool {
+    pub fn includes(&self, service: &name::ServiceName) -> bool {
         match self {
             Self::Service(own) => own == service,
             Self::Split(parts) => parts.iter().any(|part| part.service == *service),
--- a/crates/anvil_rules/src/document.rs
+++ b/crates/anvil_rules/src/document.rs
@@ -9,7 +9,7 @@
 
 /// Most rules of one document; matching and checking are measured up to here, see
 /// `docs/design/rules.md`.
-pub const RULE_LIMIT: usize = 10_000;
+pub const MAX_RULES: usize = 10_000;
 
 /// One rule: the first whose condition holds decides.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/anvil_rules/src/duration.rs
+++ b/crates/anvil_rules/src/duration.rs
@@ -12,7 +12,7 @@
 ];
 
 /// Reads a whole number with a unit, such as `500ms`; none where the text is anything else.
-pub fn read(text: &str) -> Option<Duration> {
+pub fn parse(text: &str) -> Option<Duration> {
     let (unit, scale) = UNITS.iter().find(|(unit, _)| text.ends_with(unit))?;
     let digits = text.strip_suffix(unit)?;
     if digits.is_empty() || !digits.bytes().all(|byte| byte.is_ascii_digit()) {
@@ -22,8 +22,8 @@
     Some(Duration::from_micros(number.checked_mul(*scale)?))
 }
 
-/// Writes a duration with the greatest unit that loses nothing; [`read`] takes it back.
-pub fn write(duration: Duration) -> String {
+/// Writes a duration with the greatest unit that loses nothing; [`parse`] takes it back.
+pub fn format(duration: Duration) -> String {
     let micros = u64::try_from(duration.as_micros()).unwrap_or(u64::MAX);
     let fits = |scale: u64| micros.is_multiple_of(scale);
     let whole = UNITS.iter().rev().find(|(_, scale)| fits(*scale));
--- a/crates/anvil_rules/src/explain.rs
+++ b/crates/anvil_rules/src/explain.rs
@@ -7,7 +7,7 @@
 use crate::{condition, duration, matcher, outcome, view};
 
 /// Most rules listed as passed over; the rest is only counted.
-const PASSED_RULES: usize = 20;
+const MAX_SKIPPED_RULES: usize = 20;
 
 /// Which rule decides a request, and why.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
@@ -19,7 +19,7 @@
     /// Why it decides, in one sentence.
     pub reason: String,
     /// Earlier rules that speak of the service and still don't hold, in order.
-    pub passed_over: Vec<PassedRule>,
+    pub passed_over: Vec<SkippedRule>,
     /// Earlier rules beyond those listed: most of them speak of other services.
     pub others_passed_over: usize,
     /// What is decided, field by field, in the words of the rule file.
@@ -29,7 +29,7 @@
 /// An earlier rule that doesn't hold.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Serialize)]
 #[display("{name}: the {differs} differs")]
-pub struct PassedRule {
+pub struct SkippedRule {
     /// Its name.
     pub name: name::RuleName,
     /// The first part of its condition that doesn't hold.
@@ -69,11 +69,11 @@
     let rules = matcher.rules();
     let end = decision.index.map_or(rules.len(), |index| index as usize);
     let misses = rules[..end].iter().filter_map(|rule| {
-        let differs = rule.when.first_miss(request)?;
+        let differs = rule.when.first_mismatch(request)?;
         let name = rule.name.clone();
-        (differs != condition::ConditionPart::Service).then_some(PassedRule { name, differs })
+        (differs != condition::ConditionPart::Service).then_some(SkippedRule { name, differs })
     });
-    let passed_over: Vec<PassedRule> = misses.take(PASSED_RULES).collect();
+    let passed_over: Vec<SkippedRule> = misses.take(MAX_SKIPPED_RULES).collect();
     let defaults = outcome::RuleOutcome::default();
     let rule = decision.index.map(|index| &rules[index as usize]);
     let then = rule.map_or(&defaults, |rule| &rule.then);
@@ -113,7 +113,7 @@
     let ratio = format!("{}%", decided.retry_ratio_percent);
     let retries = decided.chain_retries.to_string();
     let attempts = decided.attempts.to_string();
-    let objective = decided.objective.map(duration::write);
+    let objective = decided.objective.map(duration::format);
     let objective = objective.unwrap_or_else(|| "none".to_owned());
     let send_to = then.send_to.as_ref().map(ToString::to_string);
     let send_to = send_to.unwrap_or_else(|| "the service that the caller names".to_owned());
@@ -128,25 +128,25 @@
         field("retry-ratio", ratio, then.retry_ratio_percent.as_ref()),
         field(
             "backoff",
-            duration::write(decided.backoff),
+            duration::format(decided.backoff),
             then.backoff.as_ref(),
         ),
         field("attempts", attempts, then.attempts.as_ref()),
         field("objective", objective, then.objective.as_ref()),
         field(
             "deadline",
-            duration::write(decided.deadline),
+            duration::format(decided.deadline),
             then.deadline.as_ref(),
         ),
         field(
             "queue-wait",
-            duration::write(decided.queue_wait),
+            duration::format(decided.queue_wait),
             then.queue_wait.as_ref(),
         ),
         field("crash-limit", crashes, then.crash_limit.as_ref()),
         field(
             "quarantine",
-            duration::write(decided.quarantine),
+            duration::format(decided.quarantine),
             then.quarantine.as_ref(),
         ),
     ]
--- a/crates/anvil_rules/src/fault.rs
+++ b/crates/anvil_rules/src/fault.rs
@@ -88,14 +88,14 @@
         expected: &'static str,
     },
     /// The value is outside its range.
-    #[display("{found} is outside {least} to {most}")]
+    #[display("{found} is outside {min} to {max}")]
     OutOfRange {
         /// What stands there.
         found: String,
         /// The least value accepted.
-        least: String,
+        min: String,
         /// The greatest value accepted.
-        most: String,
+        max: String,
     },
     /// The text is no name.
     #[display("{reason}")]
@@ -237,7 +237,7 @@
         }
     }
 
-    pub(crate) fn add(&mut self, place: yaml::TextPlace, field: &str, reason: FaultReason) {
+    pub(crate) fn add(&mut self, place: yaml::TextPosition, field: &str, reason: FaultReason) {
         self.faults.push(RuleFault {
             file: self.file.to_owned(),
             line: place.line,
--- a/crates/anvil_rules/src/field.rs
+++ b/crates/anvil_rules/src/field.rs
@@ -19,7 +19,7 @@
 pub(crate) struct FieldMap<'a> {
     entries: &'a [yaml::YamlEntry],
     path: String,
-    place: yaml::TextPlace,
+    place: yaml::TextPosition,
 }
 
 impl<'a> FieldMap<'a> {
@@ -107,7 +107,7 @@
         };
         let value = read(text);
         if value.is_none() {
-            let found = text.chars().take(range::TEXT_BYTES).collect();
+            let found = text.chars().take(range::MAX_VALUE_BYTES).collect();
             self.fault(fault::FaultReason::Unreadable { found, expected }, faults);
         }
         value
@@ -155,20 +155,20 @@
                 path: self.path.clone(),
             }];
         }
-        let items = self.list(range::LIST_ENTRIES, faults);
+        let items = self.list(range::MAX_LIST_ENTRIES, faults);
         if items.as_ref().is_some_and(Vec::is_empty) {
             self.fault(fault::FaultReason::EmptyList, faults);
         }
         items.unwrap_or_default()
     }
 
-    /// Text of at most [`range::TEXT_BYTES`].
+    /// Text of at most [`range::MAX_VALUE_BYTES`].
     pub(crate) fn text(&self, faults: &mut fault::FaultList<'_>) -> Option<&'a str> {
         let yaml::YamlValue::Text(text) = &self.node.value else {
             self.wrong_type("text (in quotes, if it looks like a number)", faults);
             return None;
         };
-        let limit = range::TEXT_BYTES;
+        let limit = range::MAX_VALUE_BYTES;
         if text.len() > limit {
             self.fault(fault::FaultReason::TooLong { limit }, faults);
             return None;
@@ -246,8 +246,8 @@
         if value.is_none() {
             let reason = fault::FaultReason::OutOfRange {
                 found,
-                least: range.start().to_string(),
-                most: range.end().to_string(),
+                min: range.start().to_string(),
+                max: range.end().to_string(),
             };
             self.fault(reason, faults);
         }
@@ -261,12 +261,12 @@
         faults: &mut fault::FaultList<'_>,
     ) -> Option<Duration> {
         let expected = "a duration such as 500ms, 10s or 5m";
-        let value = self.parsed(expected, duration::read, faults)?;
+        let value = self.parsed(expected, duration::parse, faults)?;
         if !range.contains(&value) {
             let reason = fault::FaultReason::OutOfRange {
-                found: duration::write(value),
-                least: duration::write(*range.start()),
-                most: duration::write(*range.end()),
+                found: duration::format(value),
+                min: duration::format(*range.start()),
+                max: duration::format(*range.end()),
             };
             self.fault(reason, faults);
             return None;
--- a/crates/anvil_rules/src/matcher.rs
+++ b/crates/anvil_rules/src/matcher.rs
@@ -11,7 +11,7 @@
 
 /// Most index entries of one rule. One whose lists multiply to more is indexed by service alone,
 /// so that no document makes a node hold more than a bounded multiple of its rules.
-const ENTRIES_PER_RULE: usize = 64;
+const MAX_ENTRIES_PER_RULE: usize = 64;
 
 /// What was decided for a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -162,8 +162,8 @@
     };
     let services = keys_or_all(&when.services, service::ServicePattern::key);
     let mut paths = keys_or_all(&when.paths, path::PathPattern::key);
-    if services.len() * paths.len() > ENTRIES_PER_RULE {
-        paths = vec![table::EVERYTHING];
+    if services.len() * paths.len() > MAX_ENTRIES_PER_RULE {
+        paths = vec![table::MATCH_ALL];
     }
     for service in services {
         for path in &paths {
@@ -178,7 +178,7 @@
     K: Fn(&'a P) -> table::TableKey<'a>,
 {
     if patterns.is_empty() {
-        return vec![table::EVERYTHING];
+        return vec![table::MATCH_ALL];
     }
     let mut keys: Vec<_> = patterns.iter().map(key).collect();
     keys.sort_unstable();
--- a/crates/anvil_rules/src/parse.rs
+++ b/crates/anvil_rules/src/parse.rs
@@ -61,7 +61,7 @@
 
 fn read_located(file: &str, text: &str) -> Result<LocatedDocument, fault::RuleFaults> {
     let mut faults = fault::FaultList::new(file);
-    let located = match yaml::read(text) {
+    let located = match yaml::parse(text) {
         Ok(root) => read_document(&root, &mut faults),
         Err(error) => {
             let message = error.message;
@@ -85,7 +85,7 @@
         return LocatedDocument::default();
     };
     let list = map.require("rules", faults);
-    let items = list.and_then(|list| list.list(document::RULE_LIMIT, faults));
+    let items = list.and_then(|list| list.list(document::MAX_RULES, faults));
     let mut located = Vec::new();
     for item in items.unwrap_or_default() {
         located.extend(read_rule(&item, faults));
@@ -125,7 +125,7 @@
     sorted.sort_by(|a, b| a.rule.name.cmp(&b.rule.name).then(a.line.cmp(&b.line)));
     for same in sorted.chunk_by(|a, b| a.rule.name == b.rule.name) {
         for later in &same[1..] {
-            let place = yaml::TextPlace {
+            let place = yaml::TextPosition {
                 line: later.line,
                 column: 1,
             };
--- a/crates/anvil_rules/src/parse_account.rs
+++ b/crates/anvil_rules/src/parse_account.rs
@@ -12,7 +12,7 @@
 /// One account as read, with its line for later faults.
 struct LocatedAccount {
     record: table::AccountRecord,
-    place: yaml::TextPlace,
+    place: yaml::TextPosition,
 }
 
 /// Reads the list of accounts; none where a fault leaves no whole table.
@@ -20,7 +20,7 @@
     field: &field::NodeField<'_>,
     faults: &mut fault::FaultList<'_>,
 ) -> Option<Arc<table::AccountTable>> {
-    let items = field.list(table::ACCOUNT_LIMIT, faults)?;
+    let items = field.list(table::MAX_ACCOUNTS, faults)?;
     let located = items.iter().filter_map(|item| read_account(item, faults));
     let located: Vec<LocatedAccount> = located.collect();
     refuse_duplicates(&located, faults);
@@ -63,7 +63,7 @@
     field: &field::NodeField<'_>,
     faults: &mut fault::FaultList<'_>,
 ) -> Option<Vec<account::KeyDigest>> {
-    let items = field.list(table::KEYS_LIMIT, faults)?;
+    let items = field.list(table::MAX_KEYS_PER_ACCOUNT, faults)?;
     let read = |text: &str| {
         let digest = account::KeyDigest::parse(text);
         digest.map_err(|reason| fault::FaultReason::Digest { reason })
--- a/crates/anvil_rules/src/parse_then.rs
+++ b/crates/anvil_rules/src/parse_then.rs
@@ -94,7 +94,7 @@
         let service = field.name(name::ServiceName::new, faults)?;
         return Some(destination::RuleDestination::Service(service));
     }
-    let items = field.list(destination::PART_LIMIT, faults)?;
+    let items = field.list(destination::MAX_SPLIT_PARTS, faults)?;
     let count = items.len();
     let parts = items.iter().filter_map(|item| read_part(item, faults));
     let parts: Vec<_> = parts.collect();
@@ -145,9 +145,9 @@
     };
     if wait > deadline {
         let reason = fault::FaultReason::Exceeds {
-            found: duration::write(wait),
+            found: duration::format(wait),
             other: "deadline",
-            limit: duration::write(deadline),
+            limit: duration::format(deadline),
         };
         field.fault(reason, faults);
     }
--- a/crates/anvil_rules/src/path.rs
+++ b/crates/anvil_rules/src/path.rs
@@ -48,12 +48,12 @@
     pub(crate) fn key(&self) -> table::TableKey<'_> {
         match self {
             Self::Exact(text) => table::TableKey::Exact(text),
-            Self::Prefix(_) | Self::Glob(_) => table::TableKey::Prefix(self.literal()),
+            Self::Prefix(_) | Self::Glob(_) => table::TableKey::Prefix(self.literal_prefix()),
         }
     }
 
     /// The text that every matching path begins with.
-    pub fn literal(&self) -> &str {
+    pub fn literal_prefix(&self) -> &str {
         match self {
             Self::Exact(text) | Self::Prefix(text) => text,
             Self::Glob(glob) => glob.split('*').next().unwrap_or_default(),
@@ -65,7 +65,7 @@
     /// Two different globs are never compared, so a `false` may be wrong and a `true` never is.
     pub fn covers(&self, other: &Self) -> bool {
         match (self, other) {
-            (Self::Prefix(own), _) => other.literal().starts_with(own.as_str()),
+            (Self::Prefix(own), _) => other.literal_prefix().starts_with(own.as_str()),
             (_, Self::Exact(path)) => self.matches(path),
             _ => self == other,
         }
--- a/crates/anvil_rules/src/range.rs
+++ b/crates/anvil_rules/src/range.rs
@@ -15,7 +15,7 @@
 pub const ATTEMPTS: RangeInclusive<i64> = 1..=33;
 
 /// Weight of one part of a split.
-pub const WEIGHT: RangeInclusive<i64> = 0..=destination::WEIGHT_LIMIT as i64;
+pub const WEIGHT: RangeInclusive<i64> = 0..=destination::MAX_WEIGHT as i64;
 
 /// Retries that a node may add, in percent of its first attempts.
 pub const RETRY_RATIO_PERCENT: RangeInclusive<i64> = 0..=100;
@@ -43,7 +43,7 @@
 pub const ACCOUNT_BURST: RangeInclusive<i64> = 0..=100_000_000;
 
 /// Longest pattern, header name or header value, in bytes.
-pub const TEXT_BYTES: usize = 256;
+pub const MAX_VALUE_BYTES: usize = 256;
 
 /// Most entries of one list in a condition.
-pub const LIST_ENTRIES: usize = 64;
+pub const MAX_LIST_ENTRIES: usize = 64;
--- a/crates/anvil_rules/src/render.rs
+++ b/crates/anvil_rules/src/render.rs
@@ -190,16 +190,16 @@
             public: then.public,
             send_to: then.send_to.as_ref().map(SendText::of),
             attempts: then.attempts,
-            objective: then.objective.map(duration::write),
+            objective: then.objective.map(duration::format),
             class: then.class,
             idempotent: then.idempotent,
             retries: then.chain_retries,
             retry_ratio: then.retry_ratio_percent.map(|ratio| format!("{ratio}%")),
-            backoff: then.backoff.map(duration::write),
-            deadline: then.deadline.map(duration::write),
-            queue_wait: then.queue_wait.map(duration::write),
+            backoff: then.backoff.map(duration::format),
+            deadline: then.deadline.map(duration::format),
+            queue_wait: then.queue_wait.map(duration::format),
             crash_limit: then.crash_limit,
-            quarantine: then.quarantine.map(duration::write),
+            quarantine: then.quarantine.map(duration::format),
         }
     }
 }
--- a/crates/anvil_rules/src/shadow.rs
+++ b/crates/anvil_rules/src/shadow.rs
@@ -29,7 +29,7 @@
 }
 
 /// Places of the rules seen so far by their services, because comparing each rule with each
-/// earlier one took most of a second at [`crate::document::RULE_LIMIT`] rules.
+/// earlier one took most of a second at [`crate::document::MAX_RULES`] rules.
 #[derive(Default)]
 struct EarlierRules {
     by_service: table::KeyTable<Vec<usize>>,
@@ -38,7 +38,7 @@
 impl EarlierRules {
     fn add(&mut self, index: usize, when: &condition::RuleCondition) {
         if when.services.is_empty() {
-            self.by_service.entry(table::EVERYTHING).push(index);
+            self.by_service.entry(table::MATCH_ALL).push(index);
         }
         for service in &when.services {
             self.by_service.entry(service.key()).push(index);
--- a/crates/anvil_rules/src/table.rs
+++ b/crates/anvil_rules/src/table.rs
@@ -10,7 +10,7 @@
 }
 
 /// The key that stands for all texts.
-pub(crate) const EVERYTHING: TableKey<'static> = TableKey::Prefix("");
+pub(crate) const MATCH_ALL: TableKey<'static> = TableKey::Prefix("");
 
 /// Finds the values of all keys that stand for a text, with one binary search for the text and
 /// one for each length that a prefix has.
--- a/crates/anvil_rules/src/yaml.rs
+++ b/crates/anvil_rules/src/yaml.rs
@@ -9,23 +9,23 @@
 use serde::{Deserialize, Deserializer};
 use serde_saphyr::{MergeKeyPolicy, Spanned, options};
 
-/// Largest text read, in bytes; the limits below are enough for [`crate::document::RULE_LIMIT`]
+/// Largest text read, in bytes; the limits below are enough for [`crate::document::MAX_RULES`]
 /// rules, and no text within them takes more than a second to check.
-pub const TEXT_LIMIT: usize = 4 * 1024 * 1024;
+pub const MAX_TEXT_BYTES: usize = 4 * 1024 * 1024;
 
 /// Most scalars, lists and maps of one text.
-const NODE_LIMIT: usize = 1_000_000;
+const MAX_NODES: usize = 1_000_000;
 
 /// Most parser events of one text; a list or a map takes two.
-const EVENT_LIMIT: usize = 2 * NODE_LIMIT;
+const MAX_EVENTS: usize = 2 * MAX_NODES;
 
 /// Most parser events that aliases may repeat. A few hundred bytes of aliases of aliases stand for
 /// billions of values and would hold a node up for seconds; real files share a few lists.
-const ALIAS_EVENT_LIMIT: usize = 20_000;
+const MAX_ALIAS_EVENTS: usize = 20_000;
 
 /// A place in the text; both count from one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct TextPlace {
+pub struct TextPosition {
     /// The line.
     pub line: u64,
     /// The column, in characters.
@@ -36,7 +36,7 @@
 #[derive(Clone, Debug)]
 pub struct YamlNode {
     /// Where the value begins.
-    pub place: TextPlace,
+    pub place: TextPosition,
     /// The value.
     pub value: YamlValue,
 }
@@ -66,7 +66,7 @@
     /// The key.
     pub key: String,
     /// Where the key stands.
-    pub place: TextPlace,
+    pub place: TextPosition,
     /// The value.
     pub node: YamlNode,
 }
@@ -75,7 +75,7 @@
 #[derive(Clone, Debug)]
 pub struct YamlError {
     /// Where reading stopped; the start of the text where the parser can't say.
-    pub place: TextPlace,
+    pub place: TextPosition,
     /// What the parser said.
     pub message: String,
 }
@@ -97,18 +97,18 @@
 /// Reads one YAML document.
 ///
 /// Fails with the parser's first error; duplicate keys, merge keys, several documents and texts
-/// above [`TEXT_LIMIT`] are errors.
-pub fn read(text: &str) -> Result<YamlNode, YamlError> {
-    if text.len() > TEXT_LIMIT {
+/// above [`MAX_TEXT_BYTES`] are errors.
+pub fn parse(text: &str) -> Result<YamlNode, YamlError> {
+    if text.len() > MAX_TEXT_BYTES {
         return Err(YamlError {
-            place: TextPlace { line: 1, column: 1 },
-            message: format!("the text is longer than {TEXT_LIMIT} bytes"),
+            place: TextPosition { line: 1, column: 1 },
+            message: format!("the text is longer than {MAX_TEXT_BYTES} bytes"),
         });
     }
     let options = serde_saphyr::options! {
-        budget: serde_saphyr::budget! { max_nodes: NODE_LIMIT, max_events: EVENT_LIMIT },
+        budget: serde_saphyr::budget! { max_nodes: MAX_NODES, max_events: MAX_EVENTS },
         alias_limits: serde_saphyr::alias_limits! {
-            max_total_replayed_events: ALIAS_EVENT_LIMIT,
+            max_total_replayed_events: MAX_ALIAS_EVENTS,
         },
         merge_keys: MergeKeyPolicy::Error,
         duplicate_keys: options::DuplicateKeyPolicy::Error,
@@ -118,7 +118,7 @@
     read.map(YamlNode::from).map_err(|error| {
         let location = error.location().filter(|location| location.line() > 0);
         YamlError {
-            place: location.map_or(TextPlace { line: 1, column: 1 }, TextPlace::from),
+            place: location.map_or(TextPosition { line: 1, column: 1 }, TextPosition::from),
             message: message_of(&error),
         }
     })
@@ -133,7 +133,7 @@
     }
 }
 
-impl From<serde_saphyr::Location> for TextPlace {
+impl From<serde_saphyr::Location> for TextPosition {
     fn from(location: serde_saphyr::Location) -> Self {
         Self {
             line: location.line(),
--- a/crates/anvil_rules/tests/bad_input.rs
+++ b/crates/anvil_rules/tests/bad_input.rs
@@ -45,8 +45,8 @@
     a_merge_key => ("base: &b {}\nrules: []\n<<: *b", "document: "),
     deep_nesting => (&"[".repeat(100_000), "document: "),
     an_alias_bomb => (&aliases(), "total_replayed_events=20001 > 20000"),
-    too_long => (&" ".repeat(yaml::TEXT_LIMIT + 1), "the text is longer than 4194304 bytes"),
-    too_many_rules => (&rules(document::RULE_LIMIT + 1), "rules: more than 10000 entries"),
+    too_long => (&" ".repeat(yaml::MAX_TEXT_BYTES + 1), "the text is longer than 4194304 bytes"),
+    too_many_rules => (&rules(document::MAX_RULES + 1), "rules: more than 10000 entries"),
     a_long_path => (
         &format!("rules: [{{name: a, when: {{path: /{}}}, then: {{}}}}]", "x".repeat(256)),
         "rules[0].when.path: longer than 256 bytes"
@@ -85,9 +85,9 @@
 
 #[test]
 fn as_many_rules_as_allowed_are_read() {
-    let checked = parse::check_rules("r.yaml", &rules(document::RULE_LIMIT));
+    let checked = parse::check_rules("r.yaml", &rules(document::MAX_RULES));
     let checked = checked.expect("the limit is allowed");
-    assert_eq!(checked.document.rules().len(), document::RULE_LIMIT);
+    assert_eq!(checked.document.rules().len(), document::MAX_RULES);
 }
 
 proptest! {
--- a/crates/anvil_rules/tests/change.rs
+++ b/crates/anvil_rules/tests/change.rs
@@ -210,7 +210,13 @@
     // The last byte says that there are no accounts.
     let accounts = bytes.pop().expect("written");
     let rule = bytes.split_off(2);
-    let twice = [&[codec::FORMAT, 2], rule.as_slice(), &rule, &[accounts]].concat();
+    let twice = [
+        &[codec::FORMAT_VERSION, 2],
+        rule.as_slice(),
+        &rule,
+        &[accounts],
+    ]
+    .concat();
     let error = codec::decode_document(&twice).expect_err("one name twice");
     assert_eq!(error.to_string(), "there are two rules r1");
 }
--- a/crates/anvil_rules/tests/examples.rs
+++ b/crates/anvil_rules/tests/examples.rs
@@ -96,12 +96,12 @@
 /// A duration's row in the page's table of fields.
 fn wait_row(field: &str, range: &RangeInclusive<Duration>, default: Duration) -> String {
     let (least, most) = (
-        duration::write(*range.start()),
-        duration::write(*range.end()),
+        duration::format(*range.start()),
+        duration::format(*range.end()),
     );
     format!(
         "| `{field}` | {least} to {most} | {} |",
-        duration::write(default)
+        duration::format(default)
     )
 }
 
--- a/crates/anvil_rules/tests/render.rs
+++ b/crates/anvil_rules/tests/render.rs
@@ -119,7 +119,7 @@
         mut bytes in prop::collection::vec(any::<u8>(), 0..200),
     ) {
         if let Some(first) = bytes.first_mut().filter(|_| format) {
-            *first = codec::FORMAT;
+            *first = codec::FORMAT_VERSION;
         }
         // Numbers may be written longer than they need, so only what is read is compared.
         if let Ok(document) = codec::decode_document(&bytes) {
