--- a/crates/anvil_core/src/accounts.rs
+++ b/crates/anvil_core/src/accounts.rs
@@ -148,7 +148,7 @@
                 self.hold_token(sequence);
                 true
             }
-            quota::QuotaDecision::Waits => {
+            quota::QuotaDecision::Pending => {
                 if let Some(open) = self.calls.get_mut(sequence) {
                     open.stage = calls::CallStage::Metering;
                 }
@@ -175,7 +175,7 @@
             return;
         };
         if open.stage == calls::CallStage::Metering {
-            self.quota.forget(account, sequence);
+            self.quota.cancel(account, sequence);
         } else if open.account.token && matches!(verdict, verdict::CallVerdict::NotRun(_)) {
             self.quota.give_back(account);
         }
@@ -259,7 +259,7 @@
                 }
                 quota::QuotaEffect::Grant { call } => self.token_granted(call),
                 quota::QuotaEffect::Refuse { call, pause } => self.refuse_over_quota(call, pause),
-                quota::QuotaEffect::Report(change) => self.tell_home(change),
+                quota::QuotaEffect::Log(change) => self.tell_home(change),
             }
         }
     }
--- a/crates/anvil_core/src/admitting.rs
+++ b/crates/anvil_core/src/admitting.rs
@@ -55,11 +55,11 @@
     }
 
     pub(crate) fn quarantine_of(&self, print: ident::PrintHash) -> Option<refusal::RefusalLimit> {
-        match self.overload.poison.standing(self.now, print) {
-            quarantine::PrintStanding::Quarantined { seen, allowed, .. } => {
+        match self.overload.poison.status(self.now, print) {
+            quarantine::PrintStatus::Quarantined { seen, allowed, .. } => {
                 Some(refusal::RefusalLimit::Crashes { seen, allowed })
             }
-            quarantine::PrintStanding::Clean | quarantine::PrintStanding::Suspect => None,
+            quarantine::PrintStatus::Clean | quarantine::PrintStatus::Suspect => None,
         }
     }
 
@@ -69,13 +69,13 @@
         let Some(run) = self.runs.get(id) else {
             return;
         };
-        let standing = self.overload.poison.standing(now, run.context.print);
+        let standing = self.overload.poison.status(now, run.context.print);
         let waiting = admission::WaitingCall {
             id: id.0,
             rank: rank::CallRank::of(&run.context),
             deadline: run.deadline,
             queue_wait: run.treatment.queue_wait,
-            suspect: standing == quarantine::PrintStanding::Suspect,
+            suspect: standing == quarantine::PrintStatus::Suspect,
         };
         let Some(admission) = &mut self.overload.admission else {
             return;
@@ -125,7 +125,7 @@
         };
         self.overload
             .dependencies
-            .run_ended(run.kind, run.waits.called());
+            .record_run(run.kind, run.waits.called());
         let sample = limit::RunSample {
             latency: now.since(started),
             downstream: run.waits.total(now),
@@ -148,7 +148,7 @@
                 if crashed {
                     admission.restart(now);
                 }
-                admission.announce(now, slots)
+                admission.set_slots(now, slots)
             }
             former => {
                 let left = former.as_mut().map(admission::AdmissionQueue::leave);
@@ -179,13 +179,13 @@
         };
         let poison = &mut self.overload.poison;
         let notice = match outcome {
-            event::RunOutcome::Broken { .. } => poison.broke(now, id.0, &service),
-            event::RunOutcome::Whole(_) => poison.ended(now, id.0, true, &service),
+            event::RunOutcome::Broken { .. } => poison.run_broken(now, id.0, &service),
+            event::RunOutcome::Whole(_) => poison.run_ended(now, id.0, true, &service),
             event::RunOutcome::Refused
             | event::RunOutcome::Misdirected { .. }
             | event::RunOutcome::Unreachable
             | event::RunOutcome::TimedOut
-            | event::RunOutcome::Cancelled => poison.ended(now, id.0, false, &service),
+            | event::RunOutcome::Cancelled => poison.run_ended(now, id.0, false, &service),
         };
         let Some(notice) = notice else {
             return;
@@ -245,7 +245,7 @@
         };
         let (print, rule) = (run.context.print, overload::crash_rule(&run.treatment));
         let keyed = run.guarded_note(id);
-        self.overload.poison.started(id.0, print, rule);
+        self.overload.poison.run_started(id.0, print, rule);
         self.counters.runs_started += 1;
         self.effects
             .push(effect::NodeEffect::RunTarget(Box::new(order)));
@@ -284,7 +284,7 @@
     match verdict {
         // How fast a target fails says nothing about how fast it works.
         verdict::CallVerdict::Answered if status >= retrying::SERVER_ERROR => limit::RunEnd::Failed,
-        verdict::CallVerdict::Answered => limit::RunEnd::Whole,
+        verdict::CallVerdict::Answered => limit::RunEnd::Completed,
         verdict::CallVerdict::NotRun(verdict::RefusalReason::TargetRefused) => {
             limit::RunEnd::Refused
         }
--- a/crates/anvil_core/src/directory.rs
+++ b/crates/anvil_core/src/directory.rs
@@ -91,7 +91,7 @@
         node: ident::NodeId,
         class: context::PriorityClass,
     ) {
-        self.routes.sent(service, node, class);
+        self.routes.request_sent(service, node, class);
     }
 
     /// Takes in the end of an attempt.
@@ -102,7 +102,7 @@
         node: ident::NodeId,
         attempt: routing::AttemptReport<'_>,
     ) {
-        self.routes.ended(now, service, node, attempt);
+        self.routes.attempt_ended(now, service, node, attempt);
     }
 
     /// The cut line below which no target of `service` takes a request of `kind`.
@@ -112,7 +112,7 @@
         service: &name::ServiceName,
         kind: kind::CallKind,
     ) -> Option<call::CutLine> {
-        self.routes.line(now, service, kind)
+        self.routes.cut_line(now, service, kind)
     }
 
     /// Nodes beside the targets of `service`, with their addresses.
--- a/crates/anvil_core/src/entry.rs
+++ b/crates/anvil_core/src/entry.rs
@@ -158,7 +158,7 @@
             routing::RouteChoice::Target {
                 node,
                 address,
-                near,
+                same_zone: near,
             } => {
                 self.send_attempt(sequence, node, address, near);
             }
@@ -248,9 +248,9 @@
         } else {
             let now = self.now;
             let budget = self.retry_budget(&service);
-            budget.first_attempt(now, percent);
+            budget.count_first_attempt(now, percent);
             if inherited {
-                budget.inherited();
+                budget.charge_inherited();
             }
         }
         self.directory.sent(&service, peer, context.class);
--- a/crates/anvil_core/src/fleet.rs
+++ b/crates/anvil_core/src/fleet.rs
@@ -63,7 +63,7 @@
     pub(crate) fn announce_local(&mut self) {
         let leaving = self.refuses_runs();
         if leaving {
-            self.quota.member_gone(self.now, self.config.node, false);
+            self.quota.member_removed(self.now, self.config.node, false);
         }
         let local = match &self.target {
             Some(target) => fleet::LocalTarget {
@@ -135,7 +135,7 @@
             FleetEffect::Ready => self.publish_target(),
             FleetEffect::Report(report) => {
                 if matches!(report, FleetReport::Paused { .. }) {
-                    self.quota.paused();
+                    self.quota.on_pause();
                 }
                 self.report(effect::StateChange::Part {
                     part: PART,
@@ -147,7 +147,7 @@
 
     fn member_known(&mut self, view: member::MemberView) {
         match view.facts.leaving {
-            true => self.quota.member_gone(self.now, view.node, false),
+            true => self.quota.member_removed(self.now, view.node, false),
             false => self.quota.member_up(self.now, view.node, view.facts.udp),
         }
         let peer = keys::KeyPeer {
@@ -179,7 +179,7 @@
         self.directory.remove(node);
         self.key_peer_gone(node);
         let crashed = reason == GoneReason::Crashed;
-        self.quota.member_gone(self.now, node, crashed);
+        self.quota.member_removed(self.now, node, crashed);
         match reason {
             GoneReason::Crashed => self.peer_believed_gone(node),
             GoneReason::Replaced => {
--- a/crates/anvil_core/src/operator.rs
+++ b/crates/anvil_core/src/operator.rs
@@ -125,7 +125,7 @@
         let refusals: Vec<_> = self
             .overload
             .refusals
-            .notes()
+            .records()
             .iter()
             .filter(|note| note.service == request.service)
             .collect();
@@ -147,7 +147,7 @@
         "service": call.request.service,
         "class": call.context.class,
         "attempts": call.attempts,
-        "retries_left": call.allowance.left(),
+        "retries_left": call.allowance.available(),
         "deadline_micros": call.deadline,
         "stage": format!("{:?}", call.stage),
         "rule": call.mark,
--- a/crates/anvil_core/src/overload.rs
+++ b/crates/anvil_core/src/overload.rs
@@ -62,7 +62,9 @@
             Some(burst) => ratio::RatioLimits::shared(burst, self.fleet.table().live()),
             None => ratio::RatioLimits::NODE,
         };
-        self.overload.budgets.of(self.now, service, limits)
+        self.overload
+            .budgets
+            .get_or_insert(self.now, service, limits)
     }
 
     /// The cut line of the calls that the local target makes for most runs of `kind`.
@@ -103,7 +105,7 @@
         mark: treatment::RuleMark,
         cause: RefusalCause,
     ) {
-        self.overload.refusals.push(refusal::RefusalNote {
+        self.overload.refusals.push(refusal::RefusalRecord {
             at: self.now,
             request: context.request,
             class: context.class,
--- a/crates/anvil_core/src/reducer.rs
+++ b/crates/anvil_core/src/reducer.rs
@@ -59,8 +59,8 @@
     policy: policy::OverloadPolicy,
 ) -> ledger::QuotaLedger {
     let way = match policy.tokens_ahead {
-        true => ledger::TokenWay::Ahead,
-        false => ledger::TokenWay::Ask,
+        true => ledger::TokenMode::Ahead,
+        false => ledger::TokenMode::PerRequest,
     };
     let mut quota = ledger::QuotaLedger::new(config.node, way);
     quota.member_up(time::NodeTime::START, config.node, config.gossip_address);
@@ -265,7 +265,7 @@
             }
             frame::PeerFrame::Fate(message) => self.fate_arrived(peer, *message),
             frame::PeerFrame::Suspicion(notice) => {
-                self.overload.poison.learn(self.now, &notice);
+                self.overload.poison.apply_notice(self.now, &notice);
             }
             frame::PeerFrame::Key(frame) => self.key_arrived(peer, *frame),
             frame::PeerFrame::Sync(message) => self.sync_arrived(peer, &message),
--- a/crates/anvil_core/src/retrying.rs
+++ b/crates/anvil_core/src/retrying.rs
@@ -155,7 +155,7 @@
         let open = self.calls.get(sequence)?;
         let idempotent = open.treatment.idempotent;
         let error = failed && idempotent && !policy.chain_allowance;
-        let spent = open.allowance.left() == 0 || open.targets_spent();
+        let spent = open.allowance.available() == 0 || open.targets_spent();
         if spent || !(error || may_retry(verdict, idempotent)) {
             return None;
         }
@@ -299,16 +299,16 @@
             | verdict::RefusalReason::UnknownService
             | verdict::RefusalReason::Leaving
             | verdict::RefusalReason::Unreachable
-            | verdict::RefusalReason::RulesUnknown => Some(refusal::retry_when_back(lane)),
+            | verdict::RefusalReason::RulesUnknown => Some(refusal::retry_after_restart(lane)),
             _ => None,
         }
     }
 
     fn quarantine_left(&self, open: &calls::OpenCall) -> Option<Duration> {
-        match self.overload.poison.standing(self.now, open.context.print) {
-            quarantine::PrintStanding::Quarantined { left, .. } => Some(left),
+        match self.overload.poison.status(self.now, open.context.print) {
+            quarantine::PrintStatus::Quarantined { left, .. } => Some(left),
             // The target's node refused it and this one has not heard of the crashes.
-            quarantine::PrintStanding::Clean | quarantine::PrintStanding::Suspect => {
+            quarantine::PrintStatus::Clean | quarantine::PrintStatus::Suspect => {
                 Some(open.treatment.quarantine)
             }
         }
--- a/crates/anvil_core/src/settling.rs
+++ b/crates/anvil_core/src/settling.rs
@@ -76,12 +76,12 @@
 
     /// Writes off what was lent to an attempt whose node is lost.
     pub(crate) fn lose_attempt(&mut self, sequence: u64, peer: ident::NodeId) {
-        self.close_attempt(sequence, peer, routing::AttemptEnd::Lost, u16::MAX);
+        self.close_attempt(sequence, peer, routing::AttemptEnd::Unreachable, u16::MAX);
     }
 
     /// Takes back what was lent to an attempt that never left.
     pub(crate) fn attempt_unsent(&mut self, sequence: u64, peer: ident::NodeId) {
-        self.close_attempt(sequence, peer, routing::AttemptEnd::Lost, 0);
+        self.close_attempt(sequence, peer, routing::AttemptEnd::Unreachable, 0);
     }
 
     /// Writes off an attempt that nobody waits for any more.
@@ -89,7 +89,7 @@
         let end = if expired {
             routing::AttemptEnd::Failed
         } else {
-            routing::AttemptEnd::Fine
+            routing::AttemptEnd::Succeeded
         };
         self.close_attempt(sequence, peer, end, u16::MAX);
     }
@@ -129,7 +129,7 @@
             return;
         }
         let Some(run) = open.parent else {
-            let left = open.allowance.left();
+            let left = open.allowance.available();
             let dispatched = open.attempts > 0;
             if open.holds_root {
                 self.overload
@@ -159,17 +159,21 @@
 fn attempt_end(answer: &call::PeerAnswer) -> routing::AttemptEnd {
     match answer.verdict {
         verdict::CallVerdict::Answered => match &answer.answer {
-            Some(whole) if is_served(whole) || answer.failed_below => routing::AttemptEnd::Fine,
+            Some(whole) if is_served(whole) || answer.failed_below => {
+                routing::AttemptEnd::Succeeded
+            }
             _ => routing::AttemptEnd::Failed,
         },
         verdict::CallVerdict::NotRun(verdict::RefusalReason::Unreachable) => {
-            routing::AttemptEnd::Lost
+            routing::AttemptEnd::Unreachable
         }
-        verdict::CallVerdict::NotRun(_) => routing::AttemptEnd::Fine,
+        verdict::CallVerdict::NotRun(_) => routing::AttemptEnd::Succeeded,
         verdict::CallVerdict::MayHaveRun(verdict::DoubtReason::Cancelled) => {
-            routing::AttemptEnd::Fine
+            routing::AttemptEnd::Succeeded
+        }
+        verdict::CallVerdict::MayHaveRun(_) if answer.failed_below => {
+            routing::AttemptEnd::Succeeded
         }
-        verdict::CallVerdict::MayHaveRun(_) if answer.failed_below => routing::AttemptEnd::Fine,
         verdict::CallVerdict::MayHaveRun(_) => routing::AttemptEnd::Failed,
     }
 }
--- a/crates/anvil_overload/benches/decisions.rs
+++ b/crates/anvil_overload/benches/decisions.rs
@@ -59,15 +59,15 @@
             return;
         };
         let class = context::PriorityClass::Normal;
-        table.sent(&wanted, node, class);
+        table.request_sent(&wanted, node, class);
         let report = routing::AttemptReport {
             class,
             kind: kind::CallKind(1),
-            end: routing::AttemptEnd::Fine,
+            end: routing::AttemptEnd::Succeeded,
             load: None,
             answer_bytes: Some(600),
         };
-        table.ended(now, &wanted, node, report);
+        table.attempt_ended(now, &wanted, node, report);
     });
 }
 
@@ -97,7 +97,7 @@
     let sample = limit::RunSample {
         latency: Duration::from_millis(20),
         downstream: Duration::ZERO,
-        end: limit::RunEnd::Whole,
+        end: limit::RunEnd::Completed,
     };
     bencher.bench_local(|| {
         id += 1;
--- a/crates/anvil_overload/src/admission.rs
+++ b/crates/anvil_overload/src/admission.rs
@@ -10,10 +10,10 @@
 use crate::{estimate, limit, policy, rank, refusal, shedding};
 
 /// Places in the queue for each announced slot; the expected wait bounds it further.
-pub const PLACES_PER_SLOT: usize = 8;
+pub const QUEUE_PLACES_PER_SLOT: usize = 8;
 
 /// Fewest places in the queue.
-pub const PLACES_LEAST: usize = 16;
+pub const MIN_QUEUE_PLACES: usize = 16;
 
 /// A request that asks to run at the local target.
 #[derive(Clone, Copy, Debug, Serialize)]
@@ -105,9 +105,9 @@
     }
 
     /// Follows a renewed announcement of the target.
-    pub fn announce(&mut self, now: time::NodeTime, slots: u32) -> Vec<AdmissionDecision> {
+    pub fn set_slots(&mut self, now: time::NodeTime, slots: u32) -> Vec<AdmissionDecision> {
         self.slots = slots;
-        self.limit.announce(slots);
+        self.limit.set_slots(slots);
         self.settle(now, Vec::new())
     }
 
@@ -133,7 +133,7 @@
     /// Takes in a request; it starts, waits or is refused, and may displace a lower one.
     pub fn offer(&mut self, now: time::NodeTime, call: WaitingCall) -> Vec<AdmissionDecision> {
         self.follow(now);
-        self.cut.arrived(&call.rank);
+        self.cut.count_arrival(&call.rank);
         if let Some((reason, limit)) = self.refusal_of(now, &call) {
             self.note_overflow(&call.rank, reason);
             return vec![refuse(call.id, reason, limit)];
@@ -155,7 +155,7 @@
             return Vec::new();
         };
         self.running.remove(place);
-        if sample.end == limit::RunEnd::Whole || sample.end == limit::RunEnd::TimedOut {
+        if sample.end == limit::RunEnd::Completed || sample.end == limit::RunEnd::TimedOut {
             self.estimate.observe(sample.latency);
         }
         self.limit.observe(now, sample);
@@ -192,8 +192,8 @@
             running: count(self.running.len()),
             queued: self.queued(),
             limit: self.limit.current(),
-            usual_micros: u32::try_from(self.estimate.usual().as_micros()).unwrap_or(u32::MAX),
-            cut: self.cut.line(),
+            usual_micros: u32::try_from(self.estimate.mean().as_micros()).unwrap_or(u32::MAX),
+            cut: self.cut.cut_line(),
             deep: None,
             leaving: self.leaving,
             announced: 0,
@@ -219,14 +219,14 @@
             return None;
         }
         if self.cut.refuses(&call.rank) {
-            return Some((Reason::Shed, Limit::Cut(self.cut.line())));
+            return Some((Reason::Shed, Limit::Cut(self.cut.cut_line())));
         }
         let wait = self.expected_wait(&call.rank);
         if self.policy.bounded_queue && wait > call.queue_wait {
             let allowed = call.queue_wait;
             return Some((Reason::QueueFull, Limit::QueueWait { wait, allowed }));
         }
-        let needed = wait + self.estimate.least();
+        let needed = wait + self.estimate.lower_bound();
         if self.policy.deadline_drop && now + needed > call.deadline {
             return Some((Reason::Deadline, Limit::Deadline));
         }
@@ -241,7 +241,7 @@
         } else {
             self.queue.len()
         };
-        let rounds = self.estimate.usual().saturating_mul(count(ahead));
+        let rounds = self.estimate.mean().saturating_mul(count(ahead));
         rounds / self.limit.current()
     }
 
@@ -262,11 +262,11 @@
 
     /// The lowest leaves when the queue is over its bound.
     fn displace(&mut self, decisions: &mut Vec<AdmissionDecision>) {
-        let places = (self.slots as usize * PLACES_PER_SLOT).max(PLACES_LEAST);
+        let places = (self.slots as usize * QUEUE_PLACES_PER_SLOT).max(MIN_QUEUE_PLACES);
         while self.policy.bounded_queue && self.queue.len() > places {
             // Without ranks the first place is the latest arrival's, too.
             let lost = self.queue.remove(0);
-            self.cut.overflowed(&lost.call.rank);
+            self.cut.count_overflow(&lost.call.rank);
             decisions.push(refuse(
                 lost.call.id,
                 verdict::RefusalReason::QueueFull,
@@ -287,7 +287,7 @@
             };
             let next = self.queue.remove(place).call;
             if self.too_late(now, &next) {
-                self.cut.overflowed(&next.rank);
+                self.cut.count_overflow(&next.rank);
                 decisions.push(refuse(
                     next.id,
                     verdict::RefusalReason::Deadline,
@@ -306,7 +306,7 @@
         let expired = |queued: &QueuedCall| queued.expiry <= now;
         for queued in self.queue.extract_if(.., |queued| expired(queued)) {
             let call = queued.call;
-            self.cut.overflowed(&call.rank);
+            self.cut.count_overflow(&call.rank);
             decisions.push(if call.deadline <= now {
                 refuse(
                     call.id,
@@ -331,7 +331,9 @@
     /// whole. Enough, since it is checked at the last moment before the run.
     fn too_late(&self, now: time::NodeTime, call: &WaitingCall) -> bool {
         let others_wait = !self.queue.is_empty();
-        self.policy.deadline_drop && others_wait && now + self.estimate.least() > call.deadline
+        self.policy.deadline_drop
+            && others_wait
+            && now + self.estimate.lower_bound() > call.deadline
     }
 
     /// The place of the next to run: the highest rank; of equals, the newest under strain, since
@@ -340,7 +342,7 @@
         let isolated = self.running.iter().any(|run| run.suspect);
         let may_run = |queued: &QueuedCall| !(isolated && queued.call.suspect);
         let last = self.queue.iter().rposition(may_run)?;
-        if !self.policy.ranked_queue || self.cut.strained() {
+        if !self.policy.ranked_queue || self.cut.is_under_pressure() {
             return Some(last);
         }
         let rank = self.queue[last].call.rank;
@@ -356,7 +358,7 @@
         };
         let place = self.running.partition_point(|other| other.id < run.id);
         self.running.insert(place, run);
-        self.limit.started(count(self.running.len()));
+        self.limit.run_started(count(self.running.len()));
     }
 
     fn free_slot(&self) -> bool {
@@ -366,7 +368,7 @@
     fn note_overflow(&mut self, rank: &rank::CallRank, reason: verdict::RefusalReason) {
         if reason == verdict::RefusalReason::QueueFull || reason == verdict::RefusalReason::Deadline
         {
-            self.cut.overflowed(rank);
+            self.cut.count_overflow(rank);
         }
     }
 
@@ -386,13 +388,13 @@
     }
 
     fn follow(&mut self, now: time::NodeTime) {
-        let view = shedding::QueueView {
-            usual: self.estimate.usual(),
+        let view = shedding::QueueSnapshot {
+            service_time: self.estimate.mean(),
             limit: self.limit.current(),
             running: count(self.running.len()),
             standing: self.standing(),
         };
-        self.cut.follow(now, view);
+        self.cut.observe(now, view);
     }
 }
 
--- a/crates/anvil_overload/src/allowance.rs
+++ b/crates/anvil_overload/src/allowance.rs
@@ -33,7 +33,7 @@
     }
 
     /// Retries that may be spent here at present.
-    pub fn left(&self) -> u16 {
+    pub fn available(&self) -> u16 {
         self.pool
     }
 
@@ -73,7 +73,7 @@
     }
 
     /// Writes off the loan of a call whose answer will not come.
-    pub fn lose(&mut self, id: u64) {
+    pub fn write_off(&mut self, id: u64) {
         self.settle(id, u16::MAX);
     }
 
--- a/crates/anvil_overload/src/cut.rs
+++ b/crates/anvil_overload/src/cut.rs
@@ -9,16 +9,16 @@
 use crate::{kind, rank};
 
 /// How long a reported line counts in full where requests follow one another quickly.
-pub const CUT_FRESH: Duration = Duration::from_millis(200);
+pub const MIN_CUT_FRESH: Duration = Duration::from_millis(200);
 
 /// When a line that no answer renewed is gone, as a multiple of the time for which it counts in full.
-pub const GONE_FACTOR: u32 = 3;
+pub const EXPIRY_FACTOR: u32 = 3;
 
 /// When such a line is gone.
-pub const CUT_GONE: Duration = CUT_FRESH.saturating_mul(GONE_FACTOR);
+pub const MIN_CUT_EXPIRY: Duration = MIN_CUT_FRESH.saturating_mul(EXPIRY_FACTOR);
 
 /// Longest time for which a reported line counts in full.
-pub const CUT_FRESH_LIMIT: Duration = Duration::from_secs(1);
+pub const MAX_CUT_FRESH: Duration = Duration::from_secs(1);
 
 /// Usual times between two requests for which a line counts in full.
 const FRESH_GAPS: u32 = 2;
@@ -27,7 +27,7 @@
 const GAP_DIVISOR: u32 = 4;
 
 /// Kinds of request remembered for each service; the one heard of longest ago gives way.
-pub const KINDS_KEPT: usize = 64;
+pub const MAX_KINDS: usize = 64;
 
 /// A reported cut line that fades unless renewed.
 ///
@@ -41,7 +41,7 @@
 /// one, since each of its nodes does. What counts is how often requests ask and not how often answers
 /// tell: a line that refuses nearly all has few answers, and would hold itself up.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
-pub struct FadingCut {
+pub struct DecayingCut {
     level: u16,
     at: time::NodeTime,
     /// When a request last asked for it.
@@ -50,28 +50,28 @@
     gap: Duration,
 }
 
-impl FadingCut {
+impl DecayingCut {
     /// Takes in what an answer reported; the latest counts, whatever it says.
-    pub fn learn(&mut self, now: time::NodeTime, line: Option<&call::CutLine>) {
+    pub fn update(&mut self, now: time::NodeTime, line: Option<&call::CutLine>) {
         self.level = rank::line_level(line);
         self.at = now;
     }
 
     /// Notes that a request asks for the line.
     fn note_request(&mut self, now: time::NodeTime) {
-        let gap = now.since(self.asked).min(CUT_FRESH_LIMIT);
+        let gap = now.since(self.asked).min(MAX_CUT_FRESH);
         self.gap = self.gap - self.gap / GAP_DIVISOR + gap / GAP_DIVISOR;
         self.asked = now;
     }
 
     /// Whether an answer told of the line lately, or that there is none.
     pub fn is_known(&self, now: time::NodeTime) -> bool {
-        self.at > time::NodeTime::START && now.since(self.at) <= self.fresh() * GONE_FACTOR
+        self.at > time::NodeTime::START && now.since(self.at) <= self.fresh() * EXPIRY_FACTOR
     }
 
     /// How long the line counts in full.
     fn fresh(&self) -> Duration {
-        (self.gap * FRESH_GAPS).clamp(CUT_FRESH, CUT_FRESH_LIMIT)
+        (self.gap * FRESH_GAPS).clamp(MIN_CUT_FRESH, MAX_CUT_FRESH)
     }
 
     /// The lowest level admitted at present.
@@ -81,7 +81,7 @@
         if age <= fresh {
             return self.level;
         }
-        let gone = fresh * GONE_FACTOR;
+        let gone = fresh * EXPIRY_FACTOR;
         let left = gone.saturating_sub(age).as_micros();
         let span = (gone - fresh).as_micros();
         let level = u128::from(self.level) * left / span;
@@ -93,24 +93,24 @@
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct CutTable {
     /// Sorted by kind.
-    kinds: Vec<(kind::CallKind, FadingCut)>,
+    kinds: Vec<(kind::CallKind, DecayingCut)>,
 }
 
 impl CutTable {
     /// Takes in what the answer to a request of `kind` reported.
-    pub fn learn(
+    pub fn update(
         &mut self,
         now: time::NodeTime,
         kind: kind::CallKind,
         line: Option<&call::CutLine>,
     ) {
         match self.place(kind) {
-            Ok(place) => self.kinds[place].1.learn(now, line),
+            Ok(place) => self.kinds[place].1.update(now, line),
             // What was never cut need not be remembered.
             Err(_) if line.is_none() => {}
             Err(place) => {
-                let mut cut = FadingCut::default();
-                cut.learn(now, line);
+                let mut cut = DecayingCut::default();
+                cut.update(now, line);
                 self.kinds.insert(place, (kind, cut));
                 self.shrink();
             }
@@ -135,7 +135,7 @@
     }
 
     fn shrink(&mut self) {
-        if self.kinds.len() <= KINDS_KEPT {
+        if self.kinds.len() <= MAX_KINDS {
             return;
         }
         let oldest = (0..self.kinds.len()).min_by_key(|place| self.kinds[*place].1.at);
--- a/crates/anvil_overload/src/deadline.rs
+++ b/crates/anvil_overload/src/deadline.rs
@@ -5,10 +5,10 @@
 use anvil_types::time;
 
 /// Round trip to another node of the own availability zone, with its connection.
-pub const NEAR_ROUND_TRIP: Duration = Duration::from_millis(1);
+pub const SAME_ZONE_ROUND_TRIP: Duration = Duration::from_millis(1);
 
 /// Round trip to a node of another availability zone.
-pub const FAR_ROUND_TRIP: Duration = Duration::from_millis(3);
+pub const CROSS_ZONE_ROUND_TRIP: Duration = Duration::from_millis(3);
 
 /// Time that the next hop may take, so that its answer is back before `deadline`; none where no
 /// time is left.
@@ -21,9 +21,9 @@
     near: bool,
 ) -> Option<Duration> {
     let trip = if near {
-        NEAR_ROUND_TRIP
+        SAME_ZONE_ROUND_TRIP
     } else {
-        FAR_ROUND_TRIP
+        CROSS_ZONE_ROUND_TRIP
     };
     let left = deadline.since(now).checked_sub(trip)?;
     (!left.is_zero()).then_some(left)
--- a/crates/anvil_overload/src/demand.rs
+++ b/crates/anvil_overload/src/demand.rs
@@ -29,13 +29,13 @@
 
 impl LevelDemand {
     /// Counts one request.
-    pub fn arrived(&mut self, level: u16) {
+    pub fn count_arrival(&mut self, level: u16) {
         self.counts[usize::from(level)] += 1;
     }
 
     /// Takes the counts of a window of `span` into the rates; `line` is the lowest level admitted
     /// in it.
-    pub fn close(&mut self, line: u16, span: Duration) {
+    pub fn close_window(&mut self, line: u16, span: Duration) {
         let seconds = span.as_secs_f64().max(1e-6);
         for (level, count) in self.counts.iter_mut().enumerate() {
             let rate = f64::from(*count) / seconds;
--- a/crates/anvil_overload/src/dependency.rs
+++ b/crates/anvil_overload/src/dependency.rs
@@ -43,7 +43,7 @@
 
 impl DependencyTable {
     /// Takes in the calls, each named once, that a run of kind `run` made.
-    pub fn run_ended(&mut self, run: kind::CallKind, calls: &[NeededCall]) {
+    pub fn record_run(&mut self, run: kind::CallKind, calls: &[NeededCall]) {
         let of_kind = |known: &&mut CallShare| known.run == run;
         for known in self.shares.iter_mut().filter(of_kind) {
             let hit = calls.contains(&known.call);
--- a/crates/anvil_overload/src/estimate.rs
+++ b/crates/anvil_overload/src/estimate.rs
@@ -35,12 +35,12 @@
     }
 
     /// The usual time; zero before the first sample.
-    pub fn usual(&self) -> Duration {
+    pub fn mean(&self) -> Duration {
         Duration::from_micros(self.mean)
     }
 
     /// A time that few requests undercut; zero before the first sample.
-    pub fn least(&self) -> Duration {
+    pub fn lower_bound(&self) -> Duration {
         let low = self.mean.saturating_sub(2 * self.deviation);
         Duration::from_micros(low.max(self.mean / 2))
     }
--- a/crates/anvil_overload/src/limit.rs
+++ b/crates/anvil_overload/src/limit.rs
@@ -19,7 +19,7 @@
 
 /// Samples by which latency is judged: two for each run at once, and one while the limit is ramped
 /// up, within these bounds, so that a narrow and slow target is not judged only after seconds.
-pub const WINDOW_SAMPLES: (usize, usize) = (2, 16);
+pub const WINDOW_SAMPLE_BOUNDS: (usize, usize) = (2, 16);
 
 /// Most samples kept of one window.
 const SAMPLE_CAP: usize = 64;
@@ -29,31 +29,31 @@
 
 /// Own time, as a multiple of the best known, up to which the concurrency of a window counts as
 /// harmless.
-pub const HARMLESS_FACTOR: f64 = 1.25;
+pub const NORMAL_FACTOR: f64 = 1.25;
 
 /// Concurrency, as a multiple of the highest known to be harmless, from which it is suspected.
 pub const SUSPECT_FACTOR: f64 = 1.25;
 
 /// What a trial cut leaves of the limit.
-pub const TRIAL_CUT: f64 = 0.75;
+pub const TRIAL_LIMIT_SHARE: f64 = 0.75;
 
 /// Share of the former own time below which a trial cut has proved itself.
-pub const TRIAL_GAIN: f64 = 0.9;
+pub const TRIAL_SUCCESS_SHARE: f64 = 0.9;
 
 /// What a refusal by the target leaves of the limit.
-pub const REFUSED_CUT: f64 = 0.8;
+pub const REFUSAL_LIMIT_SHARE: f64 = 0.8;
 
 /// Share of the slots that a target which just came may use.
-pub const COLD_SHARE: f64 = 0.25;
+pub const COLD_START_SHARE: f64 = 0.25;
 
 /// Share of the slots that one window without trouble adds.
-pub const RAISE_SHARE: f64 = 0.05;
+pub const INCREASE_SHARE: f64 = 0.05;
 
 /// How a run at the target ended, as far as the limit is concerned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunEnd {
     /// The whole answer came.
-    Whole,
+    Completed,
     /// The run broke.
     Failed,
     /// The target refused it, so it runs as many as it can.
@@ -115,7 +115,7 @@
     /// The limit of a target that just announced `slots`.
     pub fn new(now: time::NodeTime, slots: u32, policy: policy::OverloadPolicy) -> Self {
         let ramping = policy.cold_ramp && policy.adaptive_limit;
-        let share = if ramping { COLD_SHARE } else { 1.0 };
+        let share = if ramping { COLD_START_SHARE } else { 1.0 };
         Self {
             slots,
             limit: (f64::from(slots) * share).max(1.0),
@@ -156,7 +156,7 @@
     }
 
     /// Follows a renewed announcement.
-    pub fn announce(&mut self, slots: u32) {
+    pub fn set_slots(&mut self, slots: u32) {
         let grown = slots > self.slots;
         self.slots = slots;
         if !self.policy.adaptive_limit {
@@ -168,7 +168,7 @@
     }
 
     /// Notes how many requests run after one was started.
-    pub fn started(&mut self, running: u32) {
+    pub fn run_started(&mut self, running: u32) {
         self.peak = self.peak.max(running);
         self.running_sum += u64::from(running);
         self.starts += 1;
@@ -181,7 +181,7 @@
         }
         match sample.end {
             RunEnd::Refused => self.refused += 1,
-            RunEnd::Whole | RunEnd::TimedOut => self.keep(now, sample),
+            RunEnd::Completed | RunEnd::TimedOut => self.keep(now, sample),
             RunEnd::Failed | RunEnd::Cancelled => {}
         }
         self.close(now);
@@ -225,14 +225,14 @@
     }
 
     fn needed(&self) -> usize {
-        let (least, most) = WINDOW_SAMPLES;
+        let (least, most) = WINDOW_SAMPLE_BOUNDS;
         let rounds = if self.ramping { 1 } else { 2 };
         (rounds * self.current() as usize).clamp(least, most)
     }
 
     fn cut_for_refusals(&mut self) {
         let used = f64::from(self.peak).min(self.limit);
-        self.limit = (used * REFUSED_CUT).max(1.0);
+        self.limit = (used * REFUSAL_LIMIT_SHARE).max(1.0);
         self.ramping = false;
         self.trial = None;
     }
@@ -247,7 +247,7 @@
         self.best = Some(best);
         let busy = f64::from(self.peak) >= self.limit.floor();
         let concurrency = self.concurrency();
-        if own <= best * HARMLESS_FACTOR {
+        if own <= best * NORMAL_FACTOR {
             self.harmless = self.harmless.max(concurrency);
         }
         if own > best * SLOW_FACTOR && self.limit > 1.0 {
@@ -275,12 +275,12 @@
     fn begin_trial(&mut self, own: f64) {
         let limit = self.limit;
         self.trial = Some(LimitTrial { limit, own });
-        self.limit = (limit * TRIAL_CUT).max(1.0);
+        self.limit = (limit * TRIAL_LIMIT_SHARE).max(1.0);
         self.settling = true;
     }
 
     fn end_trial(&mut self, trial: LimitTrial, own: f64) {
-        if own > trial.own * TRIAL_GAIN {
+        if own > trial.own * TRIAL_SUCCESS_SHARE {
             self.limit = trial.limit.min(f64::from(self.slots));
             self.best = Some(own);
         }
@@ -294,7 +294,7 @@
 
     fn raise(&mut self) {
         let slots = f64::from(self.slots);
-        let step = (slots * RAISE_SHARE).max(1.0);
+        let step = (slots * INCREASE_SHARE).max(1.0);
         let raised = if self.ramping {
             self.limit * 2.0
         } else {
--- a/crates/anvil_overload/src/quarantine.rs
+++ b/crates/anvil_overload/src/quarantine.rs
@@ -11,16 +11,16 @@
 
 /// Crashes beyond the rule's limit after which a request is refused though others always ran
 /// beside it.
-pub const CROWD_MARGIN: u8 = 2;
+pub const AMBIGUOUS_CRASH_MARGIN: u8 = 2;
 
 /// How long a suspect stays one without a further crash.
-pub const SUSPECT_SPAN: Duration = Duration::from_secs(60);
+pub const SUSPECT_TTL: Duration = Duration::from_secs(60);
 
 /// Suspects remembered; at 40 slots a target that is the crowd of some fifty crashes.
-pub const SUSPECTS_KEPT: usize = 2_048;
+pub const MAX_SUSPECTS: usize = 2_048;
 
 /// Crashes remembered, so that a notice heard twice counts once.
-pub const MARKS_KEPT: usize = 256;
+pub const MAX_CRASH_MARKS: usize = 256;
 
 /// Prints whose whole answers are remembered, one for each value of their lowest byte; what everybody asks
 /// for is among them at any time, at 4 KB a node.
@@ -38,10 +38,10 @@
         self.kept[place_of(print)] = Some((print, now));
     }
 
-    /// Whether `print` was answered whole within [`SUSPECT_SPAN`].
+    /// Whether `print` was answered whole within [`SUSPECT_TTL`].
     fn holds(&self, now: time::NodeTime, print: ident::PrintHash) -> bool {
         let kept = self.kept.get(place_of(print)).copied().flatten();
-        kept.is_some_and(|(known, at)| known == print && now.since(at) < SUSPECT_SPAN)
+        kept.is_some_and(|(known, at)| known == print && now.since(at) < SUSPECT_TTL)
     }
 }
 
@@ -51,7 +51,7 @@
 
 /// What is known of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PrintStanding {
+pub enum PrintStatus {
     /// Nothing.
     Clean,
     /// It ran when a target crashed; it may run, with no other suspect beside it.
@@ -105,10 +105,10 @@
 impl SuspectPrint {
     /// One crash is bad luck. A request is condemned by the rule's number of crashes if no other
     /// suspect ran beside it in one of them, which two requests can't both be; otherwise only
-    /// after [`CROWD_MARGIN`] more.
+    /// after [`AMBIGUOUS_CRASH_MARGIN`] more.
     fn condemned(&self) -> bool {
         let limit = self.rule.limit.max(1);
-        let crowd = limit.saturating_add(CROWD_MARGIN);
+        let crowd = limit.saturating_add(AMBIGUOUS_CRASH_MARGIN);
         self.strikes >= crowd || (self.alone && self.strikes >= limit)
     }
 
@@ -116,7 +116,7 @@
         if self.condemned() {
             self.rule.quarantine
         } else {
-            SUSPECT_SPAN
+            SUSPECT_TTL
         }
     }
 
@@ -163,26 +163,26 @@
     /// for was out at each of them. Symptom: it is refused everywhere for the time of the quarantine. A
     /// request that crashes its targets is never answered, so one that was answered whole within a
     /// minute is not refused; it stays a suspect and runs apart from others.
-    pub fn standing(&self, now: time::NodeTime, print: ident::PrintHash) -> PrintStanding {
+    pub fn status(&self, now: time::NodeTime, print: ident::PrintHash) -> PrintStatus {
         let Some(suspect) = self.find(print) else {
-            return PrintStanding::Clean;
+            return PrintStatus::Clean;
         };
         let left = suspect.left(now);
         if !self.policy.quarantine || left.is_zero() {
-            PrintStanding::Clean
+            PrintStatus::Clean
         } else if suspect.condemned() && !self.proved.holds(now, print) {
-            PrintStanding::Quarantined {
+            PrintStatus::Quarantined {
                 seen: suspect.strikes,
                 allowed: suspect.rule.limit,
                 left,
             }
         } else {
-            PrintStanding::Suspect
+            PrintStatus::Suspect
         }
     }
 
     /// Notes a run that starts at the local target.
-    pub fn started(&mut self, run: u64, print: ident::PrintHash, rule: CrashRule) {
+    pub fn run_started(&mut self, run: u64, print: ident::PrintHash, rule: CrashRule) {
         let entry = RunningPrint { run, print, rule };
         let place = self.running.partition_point(|known| known.run < run);
         self.running.insert(place, entry);
@@ -191,7 +191,7 @@
     /// Notes a run that ended without breaking; a whole answer takes one strike back.
     ///
     /// Returns a notice where the run was the last one that left open whether the target crashed.
-    pub fn ended(
+    pub fn run_ended(
         &mut self,
         now: time::NodeTime,
         run: u64,
@@ -227,7 +227,7 @@
     ///
     /// Returns a notice once every run that was under way has broken or ended without an answer:
     /// then the target crashed.
-    pub fn broke(
+    pub fn run_broken(
         &mut self,
         now: time::NodeTime,
         run: u64,
@@ -261,7 +261,7 @@
             node: peer,
             sequence: 0,
         };
-        let suspected = |print: ident::PrintHash| self.standing(now, print) != PrintStanding::Clean;
+        let suspected = |print: ident::PrintHash| self.status(now, print) != PrintStatus::Clean;
         let suspects = prints.iter().filter(|(print, _)| suspected(*print)).count();
         let strikes = prints
             .iter()
@@ -277,7 +277,11 @@
     }
 
     /// Takes in what another node saw; false where it was known.
-    pub fn learn(&mut self, now: time::NodeTime, notice: &suspicion::SuspicionNotice) -> bool {
+    pub fn apply_notice(
+        &mut self,
+        now: time::NodeTime,
+        notice: &suspicion::SuspicionNotice,
+    ) -> bool {
         // Callers' nodes each know only their own share of a lost node's requests.
         let whole = notice.crash.sequence > 0;
         if whole && self.marks.contains(&notice.crash) {
@@ -337,8 +341,7 @@
     /// else's; otherwise all share the suspicion and are kept apart from now on. A request that
     /// broke with nothing beside it may have met a broken connection, so that counts as a crowd.
     fn strikes(&self, now: time::NodeTime, broken: &[RunningPrint]) -> Vec<suspicion::PrintStrike> {
-        let suspected =
-            |known: &&RunningPrint| self.standing(now, known.print) != PrintStanding::Clean;
+        let suspected = |known: &&RunningPrint| self.status(now, known.print) != PrintStatus::Clean;
         let mut suspects = broken.iter().filter(suspected);
         let first = suspects.next().filter(|_| broken.len() > 1);
         match first.filter(|_| suspects.next().is_none()) {
@@ -351,7 +354,7 @@
     }
 
     fn apply(&mut self, now: time::NodeTime, notice: &suspicion::SuspicionNotice) {
-        if self.marks.len() == MARKS_KEPT {
+        if self.marks.len() == MAX_CRASH_MARKS {
             self.marks.pop_front();
         }
         self.marks.push_back(notice.crash);
@@ -402,12 +405,12 @@
     }
 
     fn add(&mut self, suspect: SuspectPrint) {
-        if self.suspects.len() == SUSPECTS_KEPT {
+        if self.suspects.len() == MAX_SUSPECTS {
             let oldest = |place: &usize| {
                 let known = &self.suspects[*place];
                 (known.condemned(), known.struck)
             };
-            if let Some(place) = (0..SUSPECTS_KEPT).min_by_key(oldest) {
+            if let Some(place) = (0..MAX_SUSPECTS).min_by_key(oldest) {
                 self.suspects.remove(place);
             }
         }
--- a/crates/anvil_overload/src/rank.rs
+++ b/crates/anvil_overload/src/rank.rs
@@ -16,7 +16,7 @@
 /// moment. Symptom: a request that its entry node let in makes eight calls there and fails by the highest of
 /// eight lines, after most of its work is done. An entry node that follows the line refuses what lies below
 /// it within the next answers, so what is let in beyond it stays short.
-pub const BEGUN_LANES: u16 = 64;
+pub const ADMITTED_LANE_BONUS: u16 = 64;
 
 /// Where a request stands among others.
 ///
@@ -51,13 +51,13 @@
     }
 
     /// The level at which lines are asked whether they admit the request: the calls of requests that have
-    /// begun stand [`BEGUN_LANES`] higher, within their class.
+    /// begun stand [`ADMITTED_LANE_BONUS`] higher, within their class.
     pub fn admission_level(&self) -> u16 {
         if self.depth == 0 {
             return self.level();
         }
         let top = level(self.class, context::LaneHash(0));
-        (self.level() + BEGUN_LANES).min(top)
+        (self.level() + ADMITTED_LANE_BONUS).min(top)
     }
 }
 
@@ -71,7 +71,7 @@
 }
 
 /// The cut line that admits `level` and above; none where that is everything.
-pub fn line_at(level: u16) -> Option<call::CutLine> {
+pub fn line_for_level(level: u16) -> Option<call::CutLine> {
     if level == 0 {
         return None;
     }
--- a/crates/anvil_overload/src/ratio.rs
+++ b/crates/anvil_overload/src/ratio.rs
@@ -17,20 +17,20 @@
 /// One retry, in the unit of the budget: micro-retries.
 const RETRY: u64 = 1_000_000;
 
-/// Spans of [`SHARE_SPAN`] over whose mean the share is given out.
+/// Spans of [`SHARE_WINDOW`] over whose mean the share is given out.
 ///
 /// A service that begins to refuse gets fewer first attempts at once, since requests end at their first
 /// refusal; with a share of these alone, the retries that would carry requests through shrink just when
 /// they are needed. Ten seconds are the window in which the platform counts repeats against the requests
 /// of that window or of the one before it, so a mean over them stays within the larger of the two.
-pub const SHARE_SPANS: usize = 10;
+pub const SHARE_WINDOWS: usize = 10;
 
-/// See [`SHARE_SPANS`]; also the time whose share may be saved up beyond the burst.
+/// See [`SHARE_WINDOWS`]; also the time whose share may be saved up beyond the burst.
 ///
 /// Savings are what ranks are told apart by: the retries of a service that fails half of its requests
 /// go to the highest ranks, of which most then come through whole. They raise the repeats of ten seconds
 /// by a tenth of their share at most.
-pub const SHARE_SPAN: Duration = Duration::from_secs(1);
+pub const SHARE_WINDOW: Duration = Duration::from_secs(1);
 
 /// What the last lane of the highest class leaves of the savings to the lanes before it.
 const LANES_LEAVE: f64 = 0.5;
@@ -90,7 +90,7 @@
     /// What the present span has added.
     present: u64,
     /// What the spans before it have added; the place of the next one to be replaced goes round.
-    former: [u64; SHARE_SPANS],
+    former: [u64; SHARE_WINDOWS],
     next: usize,
     /// Spans that have ended, until all places are filled.
     ended: usize,
@@ -116,7 +116,7 @@
         Self {
             began: now,
             present: 0,
-            former: [0; SHARE_SPANS],
+            former: [0; SHARE_WINDOWS],
             next: 0,
             ended: 0,
             asked: [0; STEPS],
@@ -126,16 +126,16 @@
 
     /// Ends the spans that are over at `now`.
     fn turn(&mut self, now: time::NodeTime) {
-        let over = now.since(self.began).as_micros() / SHARE_SPAN.as_micros();
+        let over = now.since(self.began).as_micros() / SHARE_WINDOW.as_micros();
         let over = u32::try_from(over).unwrap_or(u32::MAX);
         // Beyond all places, each further span is as empty as the last.
-        for _ in 0..(over as usize).min(SHARE_SPANS + 1) {
+        for _ in 0..(over as usize).min(SHARE_WINDOWS + 1) {
             self.former[self.next] = std::mem::take(&mut self.present);
-            self.next = (self.next + 1) % SHARE_SPANS;
-            self.ended = (self.ended + 1).min(SHARE_SPANS);
+            self.next = (self.next + 1) % SHARE_WINDOWS;
+            self.ended = (self.ended + 1).min(SHARE_WINDOWS);
             self.former_asked = std::mem::take(&mut self.asked);
         }
-        self.began = self.began + SHARE_SPAN * over;
+        self.began = self.began + SHARE_WINDOW * over;
     }
 
     /// What requests above `step` have asked for within the last span.
@@ -146,12 +146,12 @@
 
     /// Whether the past is long enough for its mean to stand for the share.
     fn is_known(&self) -> bool {
-        self.ended >= SHARE_SPANS
+        self.ended >= SHARE_WINDOWS
     }
 
     /// What a span adds in the mean.
     fn mean(&self) -> u64 {
-        self.former.iter().sum::<u64>() / SHARE_SPANS as u64
+        self.former.iter().sum::<u64>() / SHARE_WINDOWS as u64
     }
 }
 
@@ -172,7 +172,7 @@
     }
 
     /// Counts a first attempt whose rule allows `percent` retries for each hundred.
-    pub fn first_attempt(&mut self, now: time::NodeTime, percent: u8) {
+    pub fn count_first_attempt(&mut self, now: time::NodeTime, percent: u8) {
         self.fill(now);
         let added = u64::from(percent) * RETRY / 100;
         self.share.present += added;
@@ -182,7 +182,7 @@
     }
 
     /// Counts a repeat that a retry further up the chain made unavoidable.
-    pub fn inherited(&mut self) {
+    pub fn charge_inherited(&mut self) {
         let least = -signed(self.limits.burst);
         self.tokens = (self.tokens - signed(RETRY)).max(least);
     }
@@ -271,7 +271,7 @@
 
 impl ServiceBudgets {
     /// The budget of `service`, a full one within `limits` where it is new.
-    pub fn of(
+    pub fn get_or_insert(
         &mut self,
         now: time::NodeTime,
         service: &name::ServiceName,
--- a/crates/anvil_overload/src/refusal.rs
+++ b/crates/anvil_overload/src/refusal.rs
@@ -10,10 +10,10 @@
 use crate::rank;
 
 /// Refusals kept; a dump stays a few kilobytes.
-pub const NOTES_KEPT: usize = 64;
+pub const MAX_RECORDS: usize = 64;
 
 /// Shortest time after which a refused caller is told to come back.
-pub const RETRY_AFTER_LEAST: Duration = Duration::from_secs(1);
+pub const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Shares of what is left of the objective, in percent, between which refused callers return.
 const RETURN_SHARES: (u32, u32) = (15, 50);
@@ -71,7 +71,7 @@
 
 /// One refusal.
 #[derive(Clone, Debug, Serialize)]
-pub struct RefusalNote {
+pub struct RefusalRecord {
     /// When, on this node's clock.
     pub at: time::NodeTime,
     /// The root request.
@@ -95,22 +95,22 @@
 /// The last refusals of this node, the oldest first.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct RefusalLog {
-    notes: VecDeque<RefusalNote>,
+    notes: VecDeque<RefusalRecord>,
     total: u64,
 }
 
 impl RefusalLog {
-    /// Keeps `note` and drops the oldest above [`NOTES_KEPT`].
-    pub fn push(&mut self, note: RefusalNote) {
+    /// Keeps `note` and drops the oldest above [`MAX_RECORDS`].
+    pub fn push(&mut self, note: RefusalRecord) {
         self.total += 1;
-        if self.notes.len() == NOTES_KEPT {
+        if self.notes.len() == MAX_RECORDS {
             self.notes.pop_front();
         }
         self.notes.push_back(note);
     }
 
     /// The refusals kept, the oldest first.
-    pub fn notes(&self) -> &VecDeque<RefusalNote> {
+    pub fn records(&self) -> &VecDeque<RefusalRecord> {
         &self.notes
     }
 }
@@ -130,7 +130,7 @@
 
 /// When a caller does well to come back to a service that no node offers at the moment: its targets
 /// or nodes are restarting, which takes a second or two.
-pub fn retry_when_back(lane: context::LaneHash) -> Duration {
+pub fn retry_after_restart(lane: context::LaneHash) -> Duration {
     let spread = Duration::from_millis(u64::from(lane.0) * 500 / 256);
     RESTART_PAUSE + spread
 }
@@ -142,5 +142,5 @@
     let below = rank::line_level(line).saturating_sub(rank.level());
     let classes = u64::from(below / rank::LANES);
     let spread = Duration::from_millis(u64::from(rank.lane.0.0) * 1_000 / 256);
-    RETRY_AFTER_LEAST + Duration::from_secs(classes) + spread
+    MIN_RETRY_AFTER + Duration::from_secs(classes) + spread
 }
--- a/crates/anvil_overload/src/resend.rs
+++ b/crates/anvil_overload/src/resend.rs
@@ -7,11 +7,11 @@
 
 /// Requests kept in each of two generations; at 2,000 requests a second the younger fills in a
 /// second, which covers the resends of callers that don't wait.
-pub const REQUESTS_KEPT: usize = 2_048;
+pub const GENERATION_CAPACITY: usize = 2_048;
 
 /// How long the spent allowance of a request binds its copies; a caller that comes back later is
 /// no part of the load that the bound is there for.
-pub const RESEND_SPAN: Duration = Duration::from_secs(30);
+pub const RESEND_TTL: Duration = Duration::from_secs(30);
 
 #[derive(Clone, Copy, Debug, Serialize)]
 struct RootEntry {
@@ -60,7 +60,7 @@
         if entry.running {
             return ResendGrant::Spent;
         }
-        let forgotten = now.since(entry.touched) >= RESEND_SPAN;
+        let forgotten = now.since(entry.touched) >= RESEND_TTL;
         let left = if forgotten {
             bound
         } else {
@@ -94,7 +94,7 @@
     }
 
     fn insert(&mut self, now: time::NodeTime, request: ident::RequestId) {
-        if self.young.len() == REQUESTS_KEPT {
+        if self.young.len() == GENERATION_CAPACITY {
             self.old = std::mem::take(&mut self.young);
         }
         let entry = RootEntry {
--- a/crates/anvil_overload/src/routing.rs
+++ b/crates/anvil_overload/src/routing.rs
@@ -16,14 +16,14 @@
 mod target;
 
 pub use health::{
-    EJECT_FIRST, EJECT_LIMIT, EJECT_SHARE, FAILURE_FACTOR, FAILURE_SPAN, FAILURES_IN_A_ROW,
-    OUTLIER_RATE,
+    FAILURE_DECAY, FAILURE_FACTOR, FIRST_EJECTION, MAX_CONSECUTIVE_FAILURES, MAX_EJECTED_SHARE,
+    MAX_EJECTION, OUTLIER_RATE,
 };
-pub use target::{LOAD_FRESH, LOAD_GONE, SLOW_START, SLOW_START_SHARE};
+pub use target::{LOAD_EXPIRY, LOAD_FRESH, SLOW_START, SLOW_START_SHARE};
 
 /// By how much the wait at a target in another availability zone counts as longer: the own zone
 /// has to be busier by as much before requests leave it.
-pub const ZONE_FACTOR: f64 = 1.5;
+pub const CROSS_ZONE_FACTOR: f64 = 1.5;
 
 /// Where bytes between availability zones are dear: the time that a target in another one has to
 /// save for each byte that would cross, in microseconds.
@@ -31,7 +31,7 @@
 /// One factor for all requests is the wrong measure: a claim of 10 KB and a call of 700 bytes pay
 /// the same, and claims left for a run that was some milliseconds faster. By bytes, a call waits
 /// for 150 ms before it leaves its zone and a claim for two seconds.
-pub const FAR_BYTE_MICROS: f64 = 200.0;
+pub const CROSS_ZONE_MICROS_PER_BYTE: f64 = 200.0;
 
 /// What membership knows of a target.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -54,11 +54,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
     /// The node answered and the answer is no failure of the target.
-    Fine,
+    Succeeded,
     /// The target failed: a server error, or a broken run.
     Failed,
     /// The node or its target could not be reached, or was lost.
-    Lost,
+    Unreachable,
 }
 
 /// What the end of an attempt told.
@@ -101,7 +101,7 @@
         /// Where it accepts connections.
         address: SocketAddr,
         /// Whether it stands in the own availability zone.
-        near: bool,
+        same_zone: bool,
     },
     /// No target would admit it; this is the lowest of their lines.
     Shed(call::CutLine),
@@ -162,7 +162,7 @@
         }
     }
 
-    /// Chooses a target; call [`Self::sent`] when the request leaves.
+    /// Chooses a target; call [`Self::request_sent`] when the request leaves.
     pub fn choose(&mut self, now: time::NodeTime, query: RouteQuery<'_>) -> RouteChoice {
         let policy = self.policy;
         let Ok(place) = self.find(query.service) else {
@@ -172,19 +172,19 @@
     }
 
     /// Counts a request of `class` that left for `node`.
-    pub fn sent(
+    pub fn request_sent(
         &mut self,
         service: &name::ServiceName,
         node: ident::NodeId,
         class: context::PriorityClass,
     ) {
         if let Some(target) = self.target_mut(service, node) {
-            target.sent(class);
+            target.request_sent(class);
         }
     }
 
     /// Takes in the end of an attempt.
-    pub fn ended(
+    pub fn attempt_ended(
         &mut self,
         now: time::NodeTime,
         service: &name::ServiceName,
@@ -198,15 +198,15 @@
         let Ok(place) = routes.place(node) else {
             return;
         };
-        routes.targets[place].ended(now, attempt);
+        routes.targets[place].attempt_ended(now, attempt);
         if let Some(bytes) = attempt.answer_bytes {
-            routes.sizes.learn(attempt.kind, bytes);
+            routes.sizes.update(attempt.kind, bytes);
         }
         if let Some(load) = attempt.load {
             if load.cut.is_some() {
-                routes.lines_until = now + cut::CUT_GONE;
+                routes.lines_until = now + cut::MIN_CUT_EXPIRY;
             }
-            routes.deep.learn(now, attempt.kind, load.deep.as_ref());
+            routes.deep.update(now, attempt.kind, load.deep.as_ref());
         }
         if policy.ejection {
             health::review(now, &mut routes.targets, place);
@@ -215,14 +215,14 @@
 
     /// The line below which requests of `kind` to `service` are refused, for its own pressure or
     /// for that of a service below it.
-    pub fn line(
+    pub fn cut_line(
         &self,
         now: time::NodeTime,
         service: &name::ServiceName,
         kind: kind::CallKind,
     ) -> Option<call::CutLine> {
         let place = self.find(service).ok()?;
-        rank::line_at(self.services[place].line_level(now, kind, &[]))
+        rank::line_for_level(self.services[place].line_level(now, kind, &[]))
     }
 
     /// Nodes beside the targets of `service`, with their addresses.
--- a/crates/anvil_overload/src/routing/choice.rs
+++ b/crates/anvil_overload/src/routing/choice.rs
@@ -166,7 +166,7 @@
     fn nobody(&self, now: time::NodeTime, query: &routing::RouteQuery<'_>) -> routing::RouteChoice {
         let some = |target: &target::TargetRoute| target.serves(now, query.exclude);
         let level = self.line_level(now, query.kind, query.exclude);
-        match rank::line_at(level) {
+        match rank::line_for_level(level) {
             Some(line) if self.targets.iter().any(some) => routing::RouteChoice::Shed(line),
             _ => routing::RouteChoice::NoTarget,
         }
--- a/crates/anvil_overload/src/routing/health.rs
+++ b/crates/anvil_overload/src/routing/health.rs
@@ -7,7 +7,7 @@
 use crate::routing::target;
 
 /// Attempts in a row that could not reach a target before it is left out.
-pub const FAILURES_IN_A_ROW: u32 = 3;
+pub const MAX_CONSECUTIVE_FAILURES: u32 = 3;
 
 /// Smoothed share of failures from which a target is left out, if the others of its service are
 /// far below; a failure of something that all of them need leaves none out.
@@ -24,16 +24,16 @@
 pub const FAILURE_FACTOR: f64 = 16.0;
 
 /// How long a failure makes a target look worse.
-pub const FAILURE_SPAN: Duration = Duration::from_secs(4);
+pub const FAILURE_DECAY: Duration = Duration::from_secs(4);
 
 /// First time of being left out; each further one in a row doubles it.
-pub const EJECT_FIRST: Duration = Duration::from_millis(500);
+pub const FIRST_EJECTION: Duration = Duration::from_millis(500);
 
 /// Longest time of being left out.
-pub const EJECT_LIMIT: Duration = Duration::from_secs(8);
+pub const MAX_EJECTION: Duration = Duration::from_secs(8);
 
 /// Largest share of a service's targets that are left out at once.
-pub const EJECT_SHARE: f64 = 0.5;
+pub const MAX_EJECTED_SHARE: f64 = 0.5;
 
 /// Leaves the target at `place` out where it fails more than its peers.
 ///
@@ -44,7 +44,7 @@
     if target.ejected(now) {
         return;
     }
-    let lost = target.failures_in_a_row >= FAILURES_IN_A_ROW;
+    let lost = target.failures_in_a_row >= MAX_CONSECUTIVE_FAILURES;
     if !lost && !is_outlier(targets, place) {
         if target.failures_in_a_row == 0 && target.failure_rate < OUTLIER_RATE / 4.0 {
             targets[place].ejections = 0;
@@ -72,15 +72,17 @@
 fn floor_allows(out: usize, all: usize) -> bool {
     #[expect(clippy::cast_precision_loss, reason = "counts of targets")]
     let (out, all) = (out as f64, all as f64);
-    out <= all * EJECT_SHARE
+    out <= all * MAX_EJECTED_SHARE
 }
 
 fn eject(now: time::NodeTime, target: &mut target::TargetRoute) {
     let doublings = target.ejections.min(8);
-    let span = EJECT_FIRST.saturating_mul(1 << doublings).min(EJECT_LIMIT);
+    let span = FIRST_EJECTION
+        .saturating_mul(1 << doublings)
+        .min(MAX_EJECTION);
     target.ejected_until = now + span;
     target.ejections += 1;
     // The next attempt after that time decides: one failure more leaves it out again.
-    target.failures_in_a_row = FAILURES_IN_A_ROW - 1;
+    target.failures_in_a_row = MAX_CONSECUTIVE_FAILURES - 1;
     target.failure_rate = OUTLIER_RATE * 0.95;
 }
--- a/crates/anvil_overload/src/routing/sizes.rs
+++ b/crates/anvil_overload/src/routing/sizes.rs
@@ -32,7 +32,7 @@
 
 impl AnswerSizes {
     /// Takes in an answer of `bytes` to a request of `kind`.
-    pub(super) fn learn(&mut self, kind: kind::CallKind, bytes: u32) {
+    pub(super) fn update(&mut self, kind: kind::CallKind, bytes: u32) {
         self.heard += 1;
         let heard = self.heard;
         match self.place(kind) {
--- a/crates/anvil_overload/src/routing/target.rs
+++ b/crates/anvil_overload/src/routing/target.rs
@@ -13,7 +13,7 @@
 pub const LOAD_FRESH: Duration = Duration::from_millis(100);
 
 /// When a reported load counts no more.
-pub const LOAD_GONE: Duration = Duration::from_secs(1);
+pub const LOAD_EXPIRY: Duration = Duration::from_secs(1);
 
 /// How long a target that just came gets less than its share.
 pub const SLOW_START: Duration = Duration::from_secs(3);
@@ -58,7 +58,7 @@
     #[serde(skip)]
     load: call::LoadReport,
     heard: Option<time::NodeTime>,
-    pub(super) cut: cut::FadingCut,
+    pub(super) cut: cut::DecayingCut,
     pub(super) failures_in_a_row: u32,
     pub(super) failure_rate: f64,
     failed_at: time::NodeTime,
@@ -80,7 +80,7 @@
             in_flight: [0; context::PriorityClass::ALL.len()],
             load: call::LoadReport::default(),
             heard: None,
-            cut: cut::FadingCut::default(),
+            cut: cut::DecayingCut::default(),
             failures_in_a_row: 0,
             failure_rate: 0.0,
             failed_at: time::NodeTime::START,
@@ -125,15 +125,19 @@
         routing::RouteChoice::Target {
             node: self.node,
             address: self.address,
-            near: self.near,
+            same_zone: self.near,
         }
     }
 
-    pub(super) fn sent(&mut self, class: context::PriorityClass) {
+    pub(super) fn request_sent(&mut self, class: context::PriorityClass) {
         self.in_flight[class as usize] += 1;
     }
 
-    pub(super) fn ended(&mut self, now: time::NodeTime, attempt: routing::AttemptReport<'_>) {
+    pub(super) fn attempt_ended(
+        &mut self,
+        now: time::NodeTime,
+        attempt: routing::AttemptReport<'_>,
+    ) {
         let in_flight = &mut self.in_flight[attempt.class as usize];
         *in_flight = in_flight.saturating_sub(1);
         self.count(now, attempt.end);
@@ -142,7 +146,7 @@
         };
         self.load = *load;
         self.heard = Some(now);
-        self.cut.learn(now, load.cut.as_ref());
+        self.cut.update(now, load.cut.as_ref());
         if load.leaving {
             let announced = load.announced;
             self.told = Some(ToldLeaving { announced, at: now });
@@ -181,8 +185,8 @@
         let far = !self.near && policy.zone_preference;
         let (distance, crossing) = match (far, policy.stay_in_zone) {
             (false, _) => (1.0, 0.0),
-            (true, false) => (routing::ZONE_FACTOR, 0.0),
-            (true, true) => (1.0, f64::from(bytes) * routing::FAR_BYTE_MICROS),
+            (true, false) => (routing::CROSS_ZONE_FACTOR, 0.0),
+            (true, true) => (1.0, f64::from(bytes) * routing::CROSS_ZONE_MICROS_PER_BYTE),
         };
         let failures = if policy.ejection {
             1.0 + self.recent_failures(now) * routing::health::FAILURE_FACTOR
@@ -195,7 +199,7 @@
     /// The share of failures, which fades without new ones so that the target is tried again.
     fn recent_failures(&self, now: time::NodeTime) -> f64 {
         let age = now.since(self.failed_at).as_secs_f64();
-        let span = routing::health::FAILURE_SPAN.as_secs_f64();
+        let span = routing::health::FAILURE_DECAY.as_secs_f64();
         self.failure_rate * (1.0 - age / span).max(0.0)
     }
 
@@ -222,20 +226,20 @@
             return 0.0;
         };
         let age = now.since(heard).as_secs_f64();
-        let (fresh, gone) = (LOAD_FRESH.as_secs_f64(), LOAD_GONE.as_secs_f64());
+        let (fresh, gone) = (LOAD_FRESH.as_secs_f64(), LOAD_EXPIRY.as_secs_f64());
         ((gone - age) / (gone - fresh)).clamp(0.0, 1.0)
     }
 
     fn count(&mut self, now: time::NodeTime, end: routing::AttemptEnd) {
-        let failed = end != routing::AttemptEnd::Fine;
+        let failed = end != routing::AttemptEnd::Succeeded;
         if failed {
             self.failed_at = now;
         }
         let sample = if failed { 1.0 } else { 0.0 };
         self.failure_rate += (sample - self.failure_rate) / routing::health::RATE_DIVISOR;
         self.failures_in_a_row = match end {
-            routing::AttemptEnd::Lost => self.failures_in_a_row + 1,
-            routing::AttemptEnd::Fine => 0,
+            routing::AttemptEnd::Unreachable => self.failures_in_a_row + 1,
+            routing::AttemptEnd::Succeeded => 0,
             routing::AttemptEnd::Failed => self.failures_in_a_row,
         };
     }
--- a/crates/anvil_overload/src/shedding.rs
+++ b/crates/anvil_overload/src/shedding.rs
@@ -9,46 +9,46 @@
 use crate::{demand, policy, rank};
 
 /// Shortest time over which pressure is judged.
-pub const CUT_WINDOW: Duration = Duration::from_millis(100);
+pub const MIN_CUT_WINDOW: Duration = Duration::from_millis(100);
 
 /// Longest time over which pressure is judged; in between it is two usual runs, since what a
 /// change of the line does is seen only after the runs that were under way.
-pub const CUT_WINDOW_LIMIT: Duration = Duration::from_millis(400);
+pub const MAX_CUT_WINDOW: Duration = Duration::from_millis(400);
 
 /// Bounds of the standing wait that counts as pressure; within them it is two usual runs, so that
 /// the slots never stand free for want of admitted requests.
-pub const STANDING_LOW: Duration = Duration::from_millis(20);
-/// See [`STANDING_LOW`].
-pub const STANDING_HIGH: Duration = Duration::from_millis(200);
+pub const MIN_STANDING_BOUND: Duration = Duration::from_millis(20);
+/// See [`MIN_STANDING_BOUND`].
+pub const MAX_STANDING_BOUND: Duration = Duration::from_millis(200);
 
 /// Least and largest share of the admitted requests that one window cuts.
-pub const CUT_SHARE: (f64, f64) = (0.05, 0.9);
+pub const CUT_SHARE_BOUNDS: (f64, f64) = (0.05, 0.9);
 
 /// Admitted requests for each that the slots can run: some are cancelled or refused elsewhere, and
 /// a short queue costs less than a free slot.
 pub const OVERBOOKING: f64 = 1.3;
 
 /// Use of the slots from which they count as full.
-pub const FULL_USE: f64 = 0.99;
+pub const FULL_UTILIZATION: f64 = 0.99;
 
 /// Use of the slots below which the pressure counts as gone.
-pub const IDLE_USE: f64 = 0.7;
+pub const IDLE_UTILIZATION: f64 = 0.7;
 
 /// Step, in levels, by which a window that left slots free lowers the line; each further window
-/// whose use is below [`IDLE_USE`] doubles it.
+/// whose use is below [`IDLE_UTILIZATION`] doubles it.
 pub const RELEASE_STEP: u16 = 8;
 
 /// Longest step of release, in levels.
-pub const RELEASE_LIMIT: u16 = 512;
+pub const MAX_RELEASE_STEP: u16 = 512;
 
 /// Windows without any event after which the line is gone.
 const WINDOWS_TO_FORGET: u128 = 16;
 
 /// What the queue says of itself at a change.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct QueueView {
+pub struct QueueSnapshot {
     /// Usual time of a run.
-    pub usual: Duration,
+    pub service_time: Duration,
     /// Requests that may run at once.
     pub limit: u32,
     /// Requests that run.
@@ -76,7 +76,7 @@
     least_standing: usize,
     former_standing: usize,
     #[serde(skip)]
-    view: QueueView,
+    view: QueueSnapshot,
     #[serde(skip)]
     demand: demand::LevelDemand,
     #[serde(skip)]
@@ -97,19 +97,19 @@
             overflowed: 0,
             least_standing: 0,
             former_standing: 0,
-            view: QueueView::default(),
+            view: QueueSnapshot::default(),
             demand: demand::LevelDemand::default(),
             policy,
         }
     }
 
     /// The line in force; none where all are admitted.
-    pub fn line(&self) -> Option<call::CutLine> {
-        rank::line_at(self.level)
+    pub fn cut_line(&self) -> Option<call::CutLine> {
+        rank::line_for_level(self.level)
     }
 
     /// Whether the last window was under pressure.
-    pub fn strained(&self) -> bool {
+    pub fn is_under_pressure(&self) -> bool {
         self.strained
     }
 
@@ -124,9 +124,9 @@
     }
 
     /// Counts a request that arrived, admitted or not.
-    pub fn arrived(&mut self, rank: &rank::CallRank) {
+    pub fn count_arrival(&mut self, rank: &rank::CallRank) {
         let level = rank.level();
-        self.demand.arrived(level);
+        self.demand.count_arrival(level);
         if level >= self.level {
             self.admitted += 1;
         }
@@ -134,17 +134,17 @@
 
     /// Counts a request that the queue gave up: full, waited too long, or too late. Below the line
     /// that is no pressure.
-    pub fn overflowed(&mut self, rank: &rank::CallRank) {
+    pub fn count_overflow(&mut self, rank: &rank::CallRank) {
         if self.admits(rank) {
             self.overflowed += 1;
         }
     }
 
     /// Follows a change of the queue, and closes the window where it is over.
-    pub fn follow(&mut self, now: time::NodeTime, view: QueueView) {
+    pub fn observe(&mut self, now: time::NodeTime, view: QueueSnapshot) {
         self.count_use(now);
         let span = now.since(self.opened);
-        if span >= CUT_WINDOW && self.policy.cut_line {
+        if span >= MIN_CUT_WINDOW && self.policy.cut_line {
             self.judge(now, span);
         }
         self.view = view;
@@ -159,19 +159,19 @@
     }
 
     fn judge(&mut self, now: time::NodeTime, span: Duration) {
-        let whole = (self.view.usual * 2).clamp(CUT_WINDOW, CUT_WINDOW_LIMIT);
+        let whole = (self.view.service_time * 2).clamp(MIN_CUT_WINDOW, MAX_CUT_WINDOW);
         let used = self.used(span);
         let standing = standing_wait(self.least_standing, self.view);
-        let bound = (self.view.usual * 2).clamp(STANDING_LOW, STANDING_HIGH);
+        let bound = (self.view.service_time * 2).clamp(MIN_STANDING_BOUND, MAX_STANDING_BOUND);
         let strained = self.overflowed > 0 || standing > bound;
-        if used < IDLE_USE && !strained {
-            let windows = span.as_nanos() / CUT_WINDOW.as_nanos();
+        if used < IDLE_UTILIZATION && !strained {
+            let windows = span.as_nanos() / MIN_CUT_WINDOW.as_nanos();
             self.release_fast(windows.min(WINDOWS_TO_FORGET));
         } else if span < whole {
             return;
         } else if strained {
             self.raise(span);
-        } else if used < FULL_USE {
+        } else if used < FULL_UTILIZATION {
             let room = (1.0 - used) * self.capacity(span) / span.as_secs_f64();
             self.level = self.demand.lowered(self.level, RELEASE_STEP * 4, room);
         }
@@ -180,7 +180,7 @@
     }
 
     fn open(&mut self, now: time::NodeTime, span: Duration) {
-        self.demand.close(self.level, span);
+        self.demand.close_window(self.level, span);
         self.opened = now;
         self.busy_micros = 0;
         self.admitted = 0;
@@ -197,7 +197,7 @@
 
     /// Requests that the slots can run within `span`.
     fn capacity(&self, span: Duration) -> f64 {
-        let usual = self.view.usual.as_secs_f64().max(1e-6);
+        let usual = self.view.service_time.as_secs_f64().max(1e-6);
         span.as_secs_f64() / usual * f64::from(self.view.limit)
     }
 
@@ -209,7 +209,7 @@
         if excess <= 0.0 && drains {
             return;
         }
-        let share = excess.clamp(CUT_SHARE.0, CUT_SHARE.1);
+        let share = excess.clamp(CUT_SHARE_BOUNDS.0, CUT_SHARE_BOUNDS.1);
         self.level = self.demand.raised(self.level, share);
     }
 
@@ -219,7 +219,7 @@
                 return;
             }
             self.release(self.step);
-            self.step = (self.step * 2).min(RELEASE_LIMIT);
+            self.step = (self.step * 2).min(MAX_RELEASE_STEP);
         }
     }
 
@@ -231,7 +231,7 @@
     }
 }
 
-fn standing_wait(queued: usize, view: QueueView) -> Duration {
+fn standing_wait(queued: usize, view: QueueSnapshot) -> Duration {
     let queued = u32::try_from(queued).unwrap_or(u32::MAX);
-    view.usual.saturating_mul(queued) / view.limit.max(1)
+    view.service_time.saturating_mul(queued) / view.limit.max(1)
 }
--- a/crates/anvil_overload/tests/admission.rs
+++ b/crates/anvil_overload/tests/admission.rs
@@ -43,7 +43,7 @@
     limit::RunSample {
         latency: Duration::from_millis(millis),
         downstream: Duration::ZERO,
-        end: limit::RunEnd::Whole,
+        end: limit::RunEnd::Completed,
     }
 }
 
@@ -145,7 +145,7 @@
 fn lowest_gives_way_when_the_queue_is_full() {
     let mut queue = queue(1, policy::OverloadPolicy::FULL);
     let low = rank(Class::Low, 0, 0);
-    for id in 0..=admission::PLACES_LEAST as u64 {
+    for id in 0..=admission::MIN_QUEUE_PLACES as u64 {
         assert!(refused(&queue.offer(at(0), waiting(id, low))).is_empty());
     }
     let decisions = queue.offer(at(0), waiting(99, rank(Class::Critical, 0, 0)));
@@ -247,6 +247,6 @@
         let next = started(&queue.finish(at(end), id, whole(20)));
         running.extend(next.into_iter().map(|id| (end + 20, id)));
     }
-    let quiet = at(last) + 10 * shedding::CUT_WINDOW;
+    let quiet = at(last) + 10 * shedding::MIN_CUT_WINDOW;
     assert_eq!(queue.load(quiet).cut, None);
 }
--- a/crates/anvil_overload/tests/allowance.rs
+++ b/crates/anvil_overload/tests/allowance.rs
@@ -36,7 +36,7 @@
             let spent = self.run(depth, lent);
             let lost = self.percent(self.loss_percent);
             if lost {
-                pool.lose(attempt);
+                pool.write_off(attempt);
                 // The answer comes late, after the attempt was given up.
                 pool.settle(attempt, spent);
             } else {
@@ -158,7 +158,7 @@
     assert_eq!(ledger.begin(at(5), id, 2), resend::ResendGrant::Granted(0));
     ledger.end(at(6), id, 0, true);
     assert_eq!(ledger.begin(at(7), id, 2), resend::ResendGrant::Spent);
-    let later = at(7) + resend::RESEND_SPAN;
+    let later = at(7) + resend::RESEND_TTL;
     assert_eq!(ledger.begin(later, id, 2), resend::ResendGrant::Granted(2));
 }
 
@@ -167,7 +167,7 @@
 fn ledger_is_bounded() {
     let now = time::NodeTime::START;
     let mut ledger = resend::ResendLedger::default();
-    let last = 10 * resend::REQUESTS_KEPT as u128;
+    let last = 10 * resend::GENERATION_CAPACITY as u128;
     for id in 0..=last {
         ledger.begin(now, ident::RequestId(id), 3);
         ledger.end(now, ident::RequestId(id), 0, true);
--- a/crates/anvil_overload/tests/limit.rs
+++ b/crates/anvil_overload/tests/limit.rs
@@ -15,7 +15,7 @@
 /// A limit to be compared: how many may run, and what each run showed.
 trait Limit {
     fn current(&self) -> u32;
-    fn started(&mut self, running: u32);
+    fn run_started(&mut self, running: u32);
     fn observe(&mut self, now: time::NodeTime, latency: Duration);
 }
 
@@ -24,15 +24,15 @@
         self.current()
     }
 
-    fn started(&mut self, running: u32) {
-        self.started(running);
+    fn run_started(&mut self, running: u32) {
+        self.run_started(running);
     }
 
     fn observe(&mut self, now: time::NodeTime, latency: Duration) {
         let sample = limit::RunSample {
             latency,
             downstream: Duration::ZERO,
-            end: limit::RunEnd::Whole,
+            end: limit::RunEnd::Completed,
         };
         self.observe(now, sample);
     }
@@ -50,7 +50,7 @@
         self.limit.max(1.0) as u32
     }
 
-    fn started(&mut self, _running: u32) {}
+    fn run_started(&mut self, _running: u32) {}
 
     fn observe(&mut self, _now: time::NodeTime, latency: Duration) {
         let latency = latency.as_secs_f64();
@@ -80,7 +80,7 @@
                 let at = now.since(time::NodeTime::START).as_secs_f64();
                 let latency = (self.time_of)(at, running);
                 runs.push((now + latency, latency));
-                limit.started(running);
+                limit.run_started(running);
             }
             runs.sort();
             let (ended, latency) = runs.remove(0);
@@ -178,11 +178,11 @@
         // More wait at once while the deep service is sick.
         let running = if sick { 40 } else { 10 };
         for _ in 0..20 {
-            limit.started(running);
+            limit.run_started(running);
             let sample = limit::RunSample {
                 latency: Duration::from_millis(5) + downstream,
                 downstream,
-                end: limit::RunEnd::Whole,
+                end: limit::RunEnd::Completed,
             };
             limit.observe(now, sample);
         }
@@ -206,7 +206,7 @@
         ..policy::OverloadPolicy::FULL
     };
     let mut limit = limit::ConcurrencyLimit::new(time::NodeTime::START, 40, policy);
-    limit.started(20);
+    limit.run_started(20);
     let refused = limit::RunSample {
         latency: Duration::from_millis(1),
         downstream: Duration::ZERO,
--- a/crates/anvil_overload/tests/quarantine.rs
+++ b/crates/anvil_overload/tests/quarantine.rs
@@ -6,7 +6,7 @@
 use anvil_types::{ident, name, time};
 use anvil_wire::suspicion;
 
-use quarantine::PrintStanding as Standing;
+use quarantine::PrintStatus;
 
 const RULE: quarantine::CrashRule = quarantine::CrashRule {
     limit: 2,
@@ -33,20 +33,20 @@
     now: time::NodeTime,
     crowd: std::ops::Range<u64>,
 ) -> suspicion::SuspicionNotice {
-    list.started(0, POISON, RULE);
+    list.run_started(0, POISON, RULE);
     for innocent in crowd.clone() {
-        list.started(innocent, ident::PrintHash(innocent), RULE);
+        list.run_started(innocent, ident::PrintHash(innocent), RULE);
     }
-    let mut notice = list.broke(now, 0, &service());
+    let mut notice = list.run_broken(now, 0, &service());
     for innocent in crowd {
         assert_eq!(notice, None);
-        notice = list.broke(now, innocent, &service());
+        notice = list.run_broken(now, innocent, &service());
     }
     notice.expect("a crash")
 }
 
 fn condemned(list: &quarantine::PoisonList, now: time::NodeTime, print: ident::PrintHash) -> bool {
-    matches!(list.standing(now, print), Standing::Quarantined { .. })
+    matches!(list.status(now, print), PrintStatus::Quarantined { .. })
 }
 
 // A request crashes the target beside 39 others, is sent again through another entry node to
@@ -56,19 +56,19 @@
 fn second_crash_condemns_the_poison_alone() {
     let (mut first, mut second) = (list(1), list(2));
     let notice = crash(&mut first, at(0), 1..40);
-    assert_eq!(first.standing(at(1), POISON), Standing::Suspect);
-    assert!(second.learn(at(2), &notice));
-    assert_eq!(second.standing(at(3), POISON), Standing::Suspect);
+    assert_eq!(first.status(at(1), POISON), PrintStatus::Suspect);
+    assert!(second.apply_notice(at(2), &notice));
+    assert_eq!(second.status(at(3), POISON), PrintStatus::Suspect);
     let notice = crash(&mut second, at(5), 100..139);
     assert!(condemned(&second, at(6), POISON));
-    assert!(first.learn(at(7), &notice));
+    assert!(first.apply_notice(at(7), &notice));
     assert!(condemned(&first, at(8), POISON));
     for innocent in (1..40).chain(100..139) {
         assert!(!condemned(&first, at(8), ident::PrintHash(innocent)));
     }
     // Those beside the second crash are not even suspects: one was running.
     let beside = ident::PrintHash(100);
-    assert_eq!(first.standing(at(8), beside), Standing::Clean);
+    assert_eq!(first.status(at(8), beside), PrintStatus::Clean);
 }
 
 // An innocent runs beside the poison twice before any notice arrives. Two crashes in a crowd
@@ -80,12 +80,12 @@
         .iter_mut()
         .map(|list| crash(list, at(0), 1..5))
         .collect();
-    lists[0].learn(at(1), &notices[1]);
+    lists[0].apply_notice(at(1), &notices[1]);
     assert_eq!(
-        lists[0].standing(at(2), ident::PrintHash(1)),
-        Standing::Suspect
+        lists[0].status(at(2), ident::PrintHash(1)),
+        PrintStatus::Suspect
     );
-    assert_eq!(lists[0].standing(at(2), POISON), Standing::Suspect);
+    assert_eq!(lists[0].status(at(2), POISON), PrintStatus::Suspect);
     crash(&mut lists[0], at(3), 1..5);
     crash(&mut lists[0], at(4), 6..9);
     assert!(condemned(&lists[0], at(5), POISON));
@@ -97,13 +97,13 @@
 fn whole_answers_clear_and_time_ends_it() {
     let mut list = list(1);
     crash(&mut list, at(0), 1..3);
-    list.started(7, ident::PrintHash(1), RULE);
-    list.ended(at(1), 7, true, &service());
-    assert_eq!(list.standing(at(1), ident::PrintHash(1)), Standing::Clean);
+    list.run_started(7, ident::PrintHash(1), RULE);
+    list.run_ended(at(1), 7, true, &service());
+    assert_eq!(list.status(at(1), ident::PrintHash(1)), PrintStatus::Clean);
     crash(&mut list, at(2), 20..23);
     assert!(condemned(&list, at(3), POISON));
     let over = at(2) + RULE.quarantine;
-    assert_eq!(list.standing(over, POISON), Standing::Clean);
+    assert_eq!(list.status(over, POISON), PrintStatus::Clean);
 }
 
 // The same notice comes by two ways and counts once.
@@ -111,9 +111,9 @@
 fn repeated_notice_counts_once() {
     let mut list = list(1);
     let notice = crash(&mut self::list(2), at(0), 1..2);
-    assert!(list.learn(at(1), &notice));
-    assert!(!list.learn(at(2), &notice));
-    assert_eq!(list.standing(at(3), POISON), Standing::Suspect);
+    assert!(list.apply_notice(at(1), &notice));
+    assert!(!list.apply_notice(at(2), &notice));
+    assert_eq!(list.status(at(3), POISON), PrintStatus::Suspect);
 }
 
 // A node is lost with requests of this one out on it. That may be the network, so one loss makes
@@ -123,7 +123,7 @@
     let mut list = list(1);
     let prints = [(POISON, RULE), (ident::PrintHash(1), RULE)];
     list.peer_lost(at(0), ident::NodeId(2), &service(), &prints);
-    assert_eq!(list.standing(at(1), POISON), Standing::Suspect);
+    assert_eq!(list.status(at(1), POISON), PrintStatus::Suspect);
     let prints = [(POISON, RULE), (ident::PrintHash(2), RULE)];
     list.peer_lost(at(2), ident::NodeId(3), &service(), &prints);
     assert!(condemned(&list, at(3), POISON));
@@ -154,9 +154,9 @@
             service: service(),
             strikes: (0..100).map(strike).collect(),
         };
-        list.learn(at(3 + round), &notice);
+        list.apply_notice(at(3 + round), &notice);
     }
-    assert_eq!(list.len(), quarantine::SUSPECTS_KEPT);
+    assert_eq!(list.len(), quarantine::MAX_SUSPECTS);
     assert!(condemned(&list, at(200), POISON));
 }
 
@@ -165,12 +165,12 @@
 fn broken_connection_is_no_crash() {
     let mut list = list(1);
     for run in 0..8 {
-        list.started(run, ident::PrintHash(run), RULE);
+        list.run_started(run, ident::PrintHash(run), RULE);
     }
-    assert_eq!(list.broke(at(1), 0, &service()), None);
-    assert_eq!(list.ended(at(2), 1, true, &service()), None);
+    assert_eq!(list.run_broken(at(1), 0, &service()), None);
+    assert_eq!(list.run_ended(at(2), 1, true, &service()), None);
     for run in 2..8 {
-        assert_eq!(list.ended(at(3), run, false, &service()), None);
+        assert_eq!(list.run_ended(at(3), run, false, &service()), None);
     }
     assert!(list.is_empty());
 }
@@ -182,11 +182,14 @@
     let mut list = list(1);
     let mut crashes = 0;
     while !condemned(&list, at(crashes), POISON) {
-        list.started(crashes, POISON, RULE);
-        assert!(list.broke(at(crashes), crashes, &service()).is_some());
+        list.run_started(crashes, POISON, RULE);
+        assert!(list.run_broken(at(crashes), crashes, &service()).is_some());
         crashes += 1;
     }
-    assert_eq!(crashes, u64::from(RULE.limit + quarantine::CROWD_MARGIN));
+    assert_eq!(
+        crashes,
+        u64::from(RULE.limit + quarantine::AMBIGUOUS_CRASH_MARGIN)
+    );
 }
 
 // A page that everybody asks for is out six times from each of three callers' nodes when a target's node is
@@ -201,9 +204,9 @@
         .map(|list| list.peer_lost(at(0), lost, &service(), &out));
     for list in &mut lists {
         for notice in &notices {
-            list.learn(at(1), notice);
+            list.apply_notice(at(1), notice);
         }
-        assert_eq!(list.standing(at(2), POISON), Standing::Suspect);
+        assert_eq!(list.status(at(2), POISON), PrintStatus::Suspect);
     }
     // A second node is lost with it, and it was the only suspect there: two crashes, one alone.
     lists[0].peer_lost(at(3), ident::NodeId(8), &service(), &out[..1]);
@@ -226,7 +229,7 @@
         );
         list.answered(at(loss * 1_000 + 500), POISON);
     }
-    assert_eq!(list.standing(at(6_000), POISON), Standing::Clean);
+    assert_eq!(list.status(at(6_000), POISON), PrintStatus::Clean);
 }
 
 // Six nodes are lost within half a second, by a fault of their own, and a page that everybody asks for was
@@ -242,11 +245,11 @@
         list.peer_lost(at(100 + loss * 80), node, &service(), &[(page, RULE)]);
         list.peer_lost(at(100 + loss * 80), node, &service(), &[(POISON, RULE)]);
     }
-    assert_eq!(list.standing(at(700), page), Standing::Suspect);
+    assert_eq!(list.status(at(700), page), PrintStatus::Suspect);
     assert!(condemned(&list, at(700), POISON));
     // It is answered once more, and then other requests push it out of what is remembered. Nothing is held
     // against it any more.
     list.answered(at(800), page);
     list.answered(at(900), ident::PrintHash(7 + 256));
-    assert_eq!(list.standing(at(1_000), page), Standing::Clean);
+    assert_eq!(list.status(at(1_000), page), PrintStatus::Clean);
 }
--- a/crates/anvil_overload/tests/ratio.rs
+++ b/crates/anvil_overload/tests/ratio.rs
@@ -37,7 +37,7 @@
     let mut allowed = 0;
     for attempt in 0..attempts {
         let now = at(attempt * 10_000 / attempts);
-        budget.first_attempt(now, percent);
+        budget.count_first_attempt(now, percent);
         allowed += u64::from(budget.spend(now, &first()));
     }
     allowed
@@ -63,7 +63,7 @@
 fn savings_are_bounded() {
     let mut budget = ratio::RetryBudget::new(at(0));
     for _ in 0..100_000 {
-        budget.first_attempt(at(0), 100);
+        budget.count_first_attempt(at(0), 100);
     }
     let allowed = (0..100)
         .filter(|_| budget.spend(at(3_600_000), &first()))
@@ -102,9 +102,9 @@
 fn a_failing_service_leaves_the_others_their_retries() {
     let limits = ratio::RatioLimits::shared(32, 16);
     let mut budgets = ratio::ServiceBudgets::default();
-    let failing = budgets.of(at(0), &service("expediente"), limits);
+    let failing = budgets.get_or_insert(at(0), &service("expediente"), limits);
     while failing.spend(at(0), &first()) {}
-    let other = budgets.of(at(0), &service("audiencias"), limits);
+    let other = budgets.get_or_insert(at(0), &service("audiencias"), limits);
     assert!(other.spend(at(0), &first()));
 }
 
@@ -119,7 +119,7 @@
         let mut budget = ratio::RetryBudget::with_limits(at(0), limits);
         for request in 0..requests {
             let now = at(request * 10_000 / requests);
-            budget.first_attempt(now, 17);
+            budget.count_first_attempt(now, 17);
             allowed += u64::from(budget.spend(now, &first()));
         }
     }
@@ -136,7 +136,7 @@
     let mut budget = ratio::RetryBudget::with_limits(at(0), limits);
     let (mut browsing, mut submissions) = (0, 0);
     for request in 0..3_000 {
-        budget.first_attempt(at(request), 17);
+        budget.count_first_attempt(at(request), 17);
         if request % 3 == 0 {
             submissions += u64::from(budget.spend(at(request), &first()));
         } else {
@@ -153,11 +153,11 @@
     let limits = ratio::RatioLimits::shared(32, 16);
     let mut budget = ratio::RetryBudget::with_limits(at(0), limits);
     for _ in 0..2 {
-        budget.inherited();
+        budget.charge_inherited();
     }
     assert!(!budget.spend(at(0), &first()));
     for _ in 0..6 {
-        budget.first_attempt(at(0), 17);
+        budget.count_first_attempt(at(0), 17);
     }
     assert!(budget.spend(at(0), &first()));
 }
@@ -169,13 +169,13 @@
 fn the_share_outlasts_a_drop_of_first_attempts() {
     let mut budget = ratio::RetryBudget::with_limits(at(0), ratio::RatioLimits::shared(1, 1));
     for request in 0..1_100 {
-        budget.first_attempt(at(request * 10), 17);
+        budget.count_first_attempt(at(request * 10), 17);
         budget.spend(at(request * 10), &first());
     }
     let mut allowed = 0;
     for request in 0..200 {
         let now = at(11_000 + request * 25);
-        budget.first_attempt(now, 17);
+        budget.count_first_attempt(now, 17);
         allowed += u64::from(budget.spend(now, &first()));
     }
     // 17% of the 200 alone would be 34; 17 a second were given out before.
@@ -199,7 +199,7 @@
             for request in 0..*rate {
                 let millis = second as u64 * 1_000 + request * 1_000 / rate;
                 let place = millis as usize / (1_000 / fine);
-                budget.first_attempt(at(millis), 17);
+                budget.count_first_attempt(at(millis), 17);
                 requests[place] += 1;
                 while budget.spend(at(millis), &first()) {
                     repeats[place] += 1;
@@ -234,7 +234,7 @@
     let mut source = rand_pcg::Pcg32::seed_from_u64(11);
     let mut budget = ratio::RetryBudget::with_limits(at(0), ratio::RatioLimits::shared(28, 4));
     for call in 0..10_000 {
-        budget.first_attempt(at(call), 17);
+        budget.count_first_attempt(at(call), 17);
     }
     let mut counts = [WholeCount::default(); 2];
     for request in 0..800_u64 {
@@ -247,7 +247,7 @@
         let lane = source.next_u32().to_le_bytes()[0];
         let rank = of_class(class, lane);
         let whole = (0..8).all(|_| {
-            budget.first_attempt(now, 17);
+            budget.count_first_attempt(now, 17);
             let served = |source: &mut rand_pcg::Pcg32| source.next_u32() % 100 >= 45;
             served(&mut source)
                 || (0..3).any(|_| allows(&mut budget, now, &rank) && served(&mut source))
--- a/crates/anvil_overload/tests/returning.rs
+++ b/crates/anvil_overload/tests/returning.rs
@@ -48,8 +48,8 @@
 // be refused twice and give up.
 #[test]
 fn callers_of_a_restarting_service_return_after_the_restart() {
-    let first = refusal::retry_when_back(context::LaneHash(0));
-    let last = refusal::retry_when_back(context::LaneHash(255));
+    let first = refusal::retry_after_restart(context::LaneHash(0));
+    let last = refusal::retry_after_restart(context::LaneHash(255));
     assert!(first >= Duration::from_millis(700));
     assert!(last <= Duration::from_millis(1_200));
     assert!(last > first);
--- a/crates/anvil_overload/tests/routing.rs
+++ b/crates/anvil_overload/tests/routing.rs
@@ -97,7 +97,7 @@
         load,
         answer_bytes: None,
     };
-    table.ended(now, &service(), ident::NodeId(node), report);
+    table.attempt_ended(now, &service(), ident::NodeId(node), report);
 }
 
 /// Sends `count` requests that stay out, and counts them by target.
@@ -107,7 +107,7 @@
         let Some(node) = node_of(choose(table, now, 0)) else {
             continue;
         };
-        table.sent(&service(), ident::NodeId(node), NORMAL);
+        table.request_sent(&service(), ident::NodeId(node), NORMAL);
         match sent.binary_search_by_key(&node, |(known, _)| *known) {
             Ok(place) => sent[place].1 += 1,
             Err(place) => sent.insert(place, (node, 1)),
@@ -175,7 +175,7 @@
             &mut table,
             at(9_000),
             node,
-            routing::AttemptEnd::Fine,
+            routing::AttemptEnd::Succeeded,
             Some(&load),
         );
     }
@@ -189,11 +189,11 @@
     let report = routing::AttemptReport {
         class: NORMAL,
         kind: kind::CallKind(1),
-        end: routing::AttemptEnd::Fine,
+        end: routing::AttemptEnd::Succeeded,
         load: None,
         answer_bytes: Some(answer),
     };
-    table.ended(at(9_000), &service(), ident::NodeId(2), report);
+    table.attempt_ended(at(9_000), &service(), ident::NodeId(2), report);
     let service = service();
     let choice = table.choose(at(9_050), query(&service, 7, bytes, &[]));
     assert_eq!(node_of(choice), Some(node));
@@ -214,7 +214,13 @@
         announced,
         ..call::LoadReport::default()
     };
-    end(table, now, 1, routing::AttemptEnd::Fine, Some(&refused));
+    end(
+        table,
+        now,
+        1,
+        routing::AttemptEnd::Succeeded,
+        Some(&refused),
+    );
 }
 
 // A target's answer says that it leaves; membership has not heard and renews it as serving. It
@@ -275,12 +281,24 @@
     );
     for _ in 0..40 {
         end(&mut table, at(9_000), 1, routing::AttemptEnd::Failed, None);
-        end(&mut table, at(9_000), 2, routing::AttemptEnd::Fine, None);
-        end(&mut table, at(9_000), 3, routing::AttemptEnd::Fine, None);
+        end(
+            &mut table,
+            at(9_000),
+            2,
+            routing::AttemptEnd::Succeeded,
+            None,
+        );
+        end(
+            &mut table,
+            at(9_000),
+            3,
+            routing::AttemptEnd::Succeeded,
+            None,
+        );
     }
     let sent = send(&mut table, at(9_001), 40);
     assert_eq!(count_of(&sent, 1), 0);
-    let later = at(9_000) + routing::EJECT_LIMIT;
+    let later = at(9_000) + routing::MAX_EJECTION;
     assert!(count_of(&send(&mut table, later, 40), 1) > 0);
 }
 
@@ -294,7 +312,13 @@
     );
     for node in [1, 2, 3] {
         for _ in 0..40 {
-            end(&mut table, at(9_000), node, routing::AttemptEnd::Lost, None);
+            end(
+                &mut table,
+                at(9_000),
+                node,
+                routing::AttemptEnd::Unreachable,
+                None,
+            );
         }
     }
     let sent = send(&mut table, at(9_001), 60);
@@ -316,11 +340,11 @@
         &mut table,
         at(9_000),
         1,
-        routing::AttemptEnd::Fine,
+        routing::AttemptEnd::Succeeded,
         Some(&full),
     );
     assert_eq!(count_of(&send(&mut table, at(9_010), 4), 1), 0);
-    let later = at(9_000) + routing::LOAD_GONE;
+    let later = at(9_000) + routing::LOAD_EXPIRY;
     assert!(count_of(&send(&mut table, later, 8), 1) >= 4);
 }
 
@@ -354,7 +378,7 @@
         &mut table,
         at(9_000),
         1,
-        routing::AttemptEnd::Fine,
+        routing::AttemptEnd::Succeeded,
         Some(&load),
     );
     for _ in 0..20 {
@@ -365,13 +389,13 @@
         &mut table,
         at(9_000),
         2,
-        routing::AttemptEnd::Fine,
+        routing::AttemptEnd::Succeeded,
         Some(&load),
     );
     let shed = routing::RouteChoice::Shed(line);
     assert_eq!(choose(&mut table, at(9_000), 200), shed);
     assert!(node_of(choose(&mut table, at(9_000), 50)).is_some());
-    let later = at(9_000) + cut::CUT_GONE;
+    let later = at(9_000) + cut::MIN_CUT_EXPIRY;
     assert!(node_of(choose(&mut table, later, 255)).is_some());
     let spared = policy::OverloadPolicy {
         early_refusal: false,
@@ -397,7 +421,7 @@
         ..call::LoadReport::default()
     };
     let told = |table: &mut routing::RouteTable, node| {
-        let fine = routing::AttemptEnd::Fine;
+        let fine = routing::AttemptEnd::Succeeded;
         end(table, at(9_000), node, fine, Some(&load));
     };
     told(&mut table, 1);
@@ -426,7 +450,13 @@
     for request in 0..=20 {
         let now = at(9_000 + request * gap);
         choose(&mut table, now, 50);
-        end(&mut table, now, 1, routing::AttemptEnd::Fine, Some(&load));
+        end(
+            &mut table,
+            now,
+            1,
+            routing::AttemptEnd::Succeeded,
+            Some(&load),
+        );
     }
     let shed = routing::RouteChoice::Shed(line);
     assert_eq!(choose(&mut table.clone(), at(last + holds), 156), shed);
@@ -460,7 +490,13 @@
         ..call::LoadReport::default()
     };
     let now = at(9_000);
-    end(&mut table, now, 1, routing::AttemptEnd::Fine, Some(&load));
+    end(
+        &mut table,
+        now,
+        1,
+        routing::AttemptEnd::Succeeded,
+        Some(&load),
+    );
     let service = service();
     let mut query = query(&service, lane, 130, &[]);
     query.rank.depth = depth;
--- a/crates/anvil_quota/benches/letting_in.rs
+++ b/crates/anvil_quota/benches/letting_in.rs
@@ -53,7 +53,7 @@
 #[divan::bench]
 fn token_at_hand(bencher: Bencher<'_, '_>) {
     let node = ident::NodeId(1);
-    let mut ledger = ledger::QuotaLedger::new(node, ledger::TokenWay::Ahead);
+    let mut ledger = ledger::QuotaLedger::new(node, ledger::TokenMode::Ahead);
     ledger.member_up(
         time::NodeTime::START,
         node,
--- a/crates/anvil_quota/examples/quota_ways.rs
+++ b/crates/anvil_quota/examples/quota_ways.rs
@@ -47,7 +47,7 @@
     loads
 }
 
-fn plan(nodes: usize, seed: u64, way: ledger::TokenWay, surging: bool, kills: bool) -> FleetPlan {
+fn plan(nodes: usize, seed: u64, way: ledger::TokenMode, surging: bool, kills: bool) -> FleetPlan {
     let kill = |turn: u64| {
         let node = turn as usize * 7 % nodes;
         (Duration::from_secs(3 * turn + 2), FleetFault::Kill(node))
@@ -68,7 +68,7 @@
     }
 }
 
-fn by_ledger(nodes: usize, way: ledger::TokenWay, surging: bool, kills: bool) -> WayRow {
+fn by_ledger(nodes: usize, way: ledger::TokenMode, surging: bool, kills: bool) -> WayRow {
     let mut row = WayRow {
         over: f64::MIN,
         ..WayRow::default()
@@ -172,8 +172,8 @@
             ("surge, kills", true, true),
         ] {
             for (name, way) in [
-                ("ahead", ledger::TokenWay::Ahead),
-                ("ask", ledger::TokenWay::Ask),
+                ("ahead", ledger::TokenMode::Ahead),
+                ("ask", ledger::TokenMode::PerRequest),
             ] {
                 print(nodes, load, name, &by_ledger(nodes, way, surging, kills));
             }
--- a/crates/anvil_quota/src/bucket.rs
+++ b/crates/anvil_quota/src/bucket.rs
@@ -98,7 +98,7 @@
     }
 
     /// Withholds tokens beyond `most`; they pay for requests that are told late.
-    pub fn limit(&mut self, most: f64) {
+    pub fn cap(&mut self, most: f64) {
         self.spilled = (self.level - most).max(0.0);
         self.level = self.level.min(most);
     }
@@ -109,7 +109,7 @@
     }
 
     /// Time until there is a token again.
-    pub fn pause(&self, size: BucketSize) -> Duration {
+    pub fn time_until_token(&self, size: BucketSize) -> Duration {
         let missing = (1.0 - self.level).max(0.0);
         let most = PAUSE_MOST.as_secs_f64();
         let seconds = match size.rate > 0.0 {
--- a/crates/anvil_quota/src/effect.rs
+++ b/crates/anvil_quota/src/effect.rs
@@ -12,7 +12,7 @@
     /// It may go on.
     Granted,
     /// The account's home is asked; [`QuotaEffect::Grant`] or [`QuotaEffect::Refuse`] follows.
-    Waits,
+    Pending,
     /// It is beyond the quota.
     Refused {
         /// When its caller does well to come back.
@@ -43,7 +43,7 @@
         pause: Duration,
     },
     /// Write a log line.
-    Report(HomeChange),
+    Log(HomeChange),
 }
 
 /// A change in who counts an account.
--- a/crates/anvil_quota/src/entry.rs
+++ b/crates/anvil_quota/src/entry.rs
@@ -76,7 +76,7 @@
     }
 
     /// Begins a session with another home, which has not heard of what waits and what was not counted.
-    pub fn follow(&mut self, home: Option<ident::NodeId>, session: u32) {
+    pub fn begin_session(&mut self, home: Option<ident::NodeId>, session: u32) {
         self.home = home;
         self.session = session;
         self.term = 0;
@@ -104,7 +104,7 @@
     }
 
     /// Asks the home once more, though it takes another node for the home.
-    pub fn insist(&mut self) {
+    pub fn query_again(&mut self) {
         self.insists = true;
         self.unsent = true;
     }
@@ -122,7 +122,7 @@
     }
 
     /// Lets a request wait for the home's word.
-    pub fn ask(&mut self, call: u64) {
+    pub fn enqueue(&mut self, call: u64) {
         self.asked += 1;
         self.unsent = true;
         self.waiting.push_back(WaitingCall {
@@ -132,7 +132,7 @@
     }
 
     /// Forgets a request that waits; its grant, if one comes, is given back.
-    pub fn forget(&mut self, call: u64) {
+    pub fn cancel(&mut self, call: u64) {
         let mut waiting = self.waiting.iter_mut();
         if let Some(found) = waiting.find(|waiting| waiting.call == Some(call)) {
             found.call = None;
@@ -150,7 +150,7 @@
     }
 
     /// Decides a request while no home answers: this node goes on as it did, within its part.
-    pub fn take_alone(
+    pub fn admit_standalone(
         &mut self,
         now: time::NodeTime,
         quota: account::AccountQuota,
@@ -167,7 +167,7 @@
         alone.fill(now, size);
         match alone.take() {
             true => Ok(()),
-            false => Err(alone.pause(size)),
+            false => Err(alone.time_until_token(size)),
         }
     }
 
@@ -178,23 +178,23 @@
     }
 
     /// Whether a verdict answers a report of the present session.
-    pub fn is_of_session(&self, from: ident::NodeId, verdict: quota::UseVerdict) -> bool {
+    pub fn matches_session(&self, from: ident::NodeId, verdict: quota::UseVerdict) -> bool {
         self.home == Some(from) && verdict.session == self.session
     }
 
     /// Whether the home has lost the count that this session refers to.
     pub fn is_outdated(&self, from: ident::NodeId, verdict: quota::UseVerdict) -> bool {
-        self.is_of_session(from, verdict) && self.term != 0 && verdict.term != self.term
+        self.matches_session(from, verdict) && self.term != 0 && verdict.term != self.term
     }
 
     /// Takes in what the home decided.
-    pub fn judged(
+    pub fn apply_verdict(
         &mut self,
         now: time::NodeTime,
         from: ident::NodeId,
         verdict: quota::UseVerdict,
     ) -> Vec<effect::QuotaEffect> {
-        if !self.is_of_session(from, verdict) || verdict.granted < self.granted {
+        if !self.matches_session(from, verdict) || verdict.granted < self.granted {
             return Vec::new();
         }
         self.term = verdict.term;
--- a/crates/anvil_quota/src/marks.rs
+++ b/crates/anvil_quota/src/expiring.rs
@@ -6,13 +6,13 @@
 
 /// A few nodes, each with the time until which it is marked.
 #[derive(Clone, Debug, Default)]
-pub struct NodeMarks {
+pub struct ExpiringNodes {
     marked: Vec<(ident::NodeId, time::NodeTime)>,
 }
 
-impl NodeMarks {
+impl ExpiringNodes {
     /// Marks a node for `span`, from now on.
-    pub fn mark(&mut self, now: time::NodeTime, node: ident::NodeId, span: Duration) {
+    pub fn insert(&mut self, now: time::NodeTime, node: ident::NodeId, span: Duration) {
         self.remove(node);
         self.marked.push((node, now + span));
     }
@@ -23,13 +23,13 @@
     }
 
     /// Whether a node is marked.
-    pub fn has(&self, now: time::NodeTime, node: ident::NodeId) -> bool {
+    pub fn contains(&self, now: time::NodeTime, node: ident::NodeId) -> bool {
         let mut marked = self.marked.iter();
         marked.any(|(marked, until)| *marked == node && now < *until)
     }
 
     /// Drops the marks whose time is over.
-    pub fn forget(&mut self, now: time::NodeTime) {
+    pub fn remove_expired(&mut self, now: time::NodeTime) {
         self.marked.retain(|(_, until)| now < *until);
     }
 
--- a/crates/anvil_quota/src/handover.rs
+++ b/crates/anvil_quota/src/handover.rs
@@ -49,7 +49,7 @@
     }
 
     /// The message to send now.
-    pub fn send(&mut self, now: time::NodeTime) -> quota::UseHandover {
+    pub fn next_message(&mut self, now: time::NodeTime) -> quota::UseHandover {
         self.sends += 1;
         self.due = now + RESEND;
         quota::UseHandover {
@@ -60,7 +60,7 @@
     }
 
     /// Whether it was sent often enough.
-    pub const fn is_given_up(&self) -> bool {
+    pub const fn is_exhausted(&self) -> bool {
         self.sends >= SENDS
     }
 }
--- a/crates/anvil_quota/src/home.rs
+++ b/crates/anvil_quota/src/home.rs
@@ -91,7 +91,7 @@
     /// A home that has just become one, with `tokens` of its bucket.
     pub fn new(now: time::NodeTime, size: bucket::BucketSize, tokens: f64, term: u32) -> Self {
         let mut bucket = bucket::TokenBucket::new(now, size.capacity);
-        bucket.limit(tokens);
+        bucket.cap(tokens);
         Self {
             term,
             bucket,
@@ -108,7 +108,7 @@
     }
 
     /// Notes that another node is the home by now; tells whether this one was until now.
-    pub fn move_away(&mut self) -> bool {
+    pub fn mark_moved(&mut self) -> bool {
         !std::mem::replace(&mut self.moved, true)
     }
 
@@ -120,12 +120,12 @@
     }
 
     /// Takes back what was not handed over.
-    pub fn keep_uses(&mut self, now: time::NodeTime, slices: [i32; recent::SLICES]) {
+    pub fn restore_uses(&mut self, now: time::NodeTime, slices: [i32; recent::SLICES]) {
         self.recent.merge(now, &slices);
     }
 
     /// Whether what is let in beside the home should be handed over again.
-    pub fn owes_handover(&self, now: time::NodeTime) -> bool {
+    pub fn is_handover_due(&self, now: time::NodeTime) -> bool {
         now.since(self.handed_over) >= HANDOVER_INTERVAL && !self.recent.is_empty()
     }
 
@@ -158,7 +158,7 @@
     ///
     /// Failure: a home moves to another node and back. Symptom: the bucket here filled while the other
     /// node let requests in, and the account gets its burst twice.
-    pub fn touch(
+    pub fn prepare(
         &mut self,
         now: time::NodeTime,
         size: bucket::BucketSize,
@@ -170,7 +170,7 @@
         self.whole = share >= 1.0;
         let unused = now.since(self.used) > UNUSED;
         if unused && (self.moved || !is_home) {
-            self.bucket.limit(fresh_tokens(size, share));
+            self.bucket.cap(initial_tokens(size, share));
             self.active_since = now;
         }
         self.used = now;
@@ -181,20 +181,20 @@
     ///
     /// Failure: the home of an account is cut off. Symptom: it goes on with the whole quota for its own
     /// callers while the next node does so for all others.
-    pub fn is_cut_off(&self, now: time::NodeTime) -> bool {
-        let silent = self.reports.quiet(now) > SILENCE;
-        silent && self.reports.overdue(now) > REPORTS_MISSED
+    pub fn is_partitioned(&self, now: time::NodeTime) -> bool {
+        let silent = self.reports.idle_time(now) > SILENCE;
+        silent && self.reports.missed_events(now) > REPORTS_MISSED
     }
 
     /// Whether other nodes take this one for the home.
-    pub fn is_asked(&self, now: time::NodeTime) -> bool {
-        self.reports.rate(now) > 0.0 && self.reports.quiet(now) < ASKED
+    pub fn receives_reports(&self, now: time::NodeTime) -> bool {
+        self.reports.rate(now) > 0.0 && self.reports.idle_time(now) < ASKED
     }
 
     /// Decides a request that came to the home itself.
     pub fn take(&mut self, size: bucket::BucketSize) -> Result<(), Duration> {
         if !self.bucket.take() {
-            return Err(self.bucket.pause(size));
+            return Err(self.bucket.time_until_token(size));
         }
         self.note_uses(self.used, 1);
         Ok(())
@@ -265,7 +265,7 @@
     }
 
     /// Verdicts for nodes that let requests in ahead although the account has come near its quota.
-    pub fn tighten(
+    pub fn revoke_ahead(
         &mut self,
         size: bucket::BucketSize,
         account: account::AccountId,
@@ -286,7 +286,7 @@
     }
 
     /// Forgets entry nodes that have said nothing for long.
-    pub fn trim(&mut self, now: time::NodeTime) {
+    pub fn remove_expired(&mut self, now: time::NodeTime) {
         let old = |entry: &EntryNode| now.since(entry.heard) >= NODE_KEPT;
         for node in self.entries.keys_where(old) {
             self.entries.remove(node);
@@ -337,7 +337,7 @@
         account: account::AccountId,
         entry: &EntryNode,
     ) -> quota::UseVerdict {
-        let pause = self.bucket.pause(size).as_millis();
+        let pause = self.bucket.time_until_token(size).as_millis();
         quota::UseVerdict {
             account,
             session: entry.session,
@@ -353,6 +353,6 @@
 }
 
 /// What a home that has just become one begins with.
-pub fn fresh_tokens(size: bucket::BucketSize, share: f64) -> f64 {
+pub fn initial_tokens(size: bucket::BucketSize, share: f64) -> f64 {
     (FRESH_TOKENS * share).min(size.capacity)
 }
--- a/crates/anvil_quota/src/ledger.rs
+++ b/crates/anvil_quota/src/ledger.rs
@@ -7,12 +7,12 @@
 use anvil_wire::quota;
 use serde::Serialize;
 
-use crate::{bucket, effect, entry, handover, home, marks, ring};
+use crate::{bucket, effect, entry, expiring, handover, home, ring};
 
-mod asking;
-mod counting;
-mod handing;
-mod introducing;
+mod entry_role;
+mod handover_role;
+mod home_role;
+mod ring_role;
 
 /// Nodes that an account is asked for at: its home, and the next where the home is silent.
 const HOMES_TRIED: usize = 2;
@@ -25,11 +25,12 @@
 
 /// When tokens are taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub enum TokenWay {
+pub enum TokenMode {
     /// Ahead of the home's count while the account is far below its quota.
     Ahead,
     /// Each request waits for the home's word.
-    Ask,
+    #[serde(rename = "Ask")]
+    PerRequest,
 }
 
 /// Sums since the start of the process.
@@ -63,17 +64,17 @@
 #[derive(Clone, Debug)]
 pub struct QuotaLedger {
     node: ident::NodeId,
-    way: TokenWay,
+    way: TokenMode,
     ring: ring::QuotaRing,
     quotas: sorted::SortedTable<account::AccountId, account::AccountQuota>,
     homes: sorted::SortedTable<account::AccountId, home::HomeAccount>,
     entries: sorted::SortedTable<account::AccountId, entry::EntryAccount>,
     /// Nodes that did not answer and are passed over.
-    silent: marks::NodeMarks,
+    silent: expiring::ExpiringNodes,
     /// Nodes that were asked again though they did not answer, and are not so once more.
-    retried: marks::NodeMarks,
+    retried: expiring::ExpiringNodes,
     /// Homes that confirmed a handover a moment ago.
-    heard: marks::NodeMarks,
+    heard: expiring::ExpiringNodes,
     sessions: u32,
     terms: u32,
     trim_at: time::NodeTime,
@@ -85,7 +86,7 @@
     handovers: Vec<handover::PendingHandover>,
     /// Handovers begun.
     handed: u32,
-    introduction: introducing::RingIntroduction,
+    introduction: ring_role::RingIntroduction,
     /// No entry has anything due before.
     due_at: Option<time::NodeTime>,
     counters: QuotaCounters,
@@ -93,7 +94,7 @@
 
 impl QuotaLedger {
     /// A node that knows no account and no member.
-    pub fn new(node: ident::NodeId, way: TokenWay) -> Self {
+    pub fn new(node: ident::NodeId, way: TokenMode) -> Self {
         Self {
             node,
             way,
@@ -101,9 +102,9 @@
             quotas: sorted::SortedTable::default(),
             homes: sorted::SortedTable::default(),
             entries: sorted::SortedTable::default(),
-            silent: marks::NodeMarks::default(),
-            retried: marks::NodeMarks::default(),
-            heard: marks::NodeMarks::default(),
+            silent: expiring::ExpiringNodes::default(),
+            retried: expiring::ExpiringNodes::default(),
+            heard: expiring::ExpiringNodes::default(),
             sessions: 0,
             terms: 0,
             trim_at: time::NodeTime::START,
@@ -111,7 +112,7 @@
             changes: Vec::new(),
             handovers: Vec::new(),
             handed: 0,
-            introduction: introducing::RingIntroduction::default(),
+            introduction: ring_role::RingIntroduction::default(),
             due_at: None,
             counters: QuotaCounters::default(),
         }
@@ -167,7 +168,7 @@
             if let (Some(size), Some(home)) = (self.size(account), self.homes.get_mut(account)) {
                 home.refill(now, size);
             }
-            self.tighten(account, out);
+            self.revoke_ahead(account, out);
         }
     }
 
@@ -178,9 +179,9 @@
     }
 
     /// Drops a member; one that `crashed` may live on behind a cut, and uses its part there.
-    pub fn member_gone(&mut self, now: time::NodeTime, node: ident::NodeId, crashed: bool) {
+    pub fn member_removed(&mut self, now: time::NodeTime, node: ident::NodeId, crashed: bool) {
         match crashed {
-            true => self.ring.lose(now, node),
+            true => self.ring.remove_crashed(now, node),
             false => {
                 self.ring.remove(node);
             }
@@ -192,7 +193,7 @@
     ///
     /// Failure: a home is frozen and wakes. Symptom: its buckets fill by the time that it slept, while
     /// another node let requests in, and the account gets a burst twice.
-    pub fn paused(&mut self) {
+    pub fn on_pause(&mut self) {
         self.homes = sorted::SortedTable::default();
     }
 
@@ -206,21 +207,23 @@
         let Some(quota) = self.quotas.get(account).copied() else {
             return effect::QuotaDecision::Granted;
         };
-        let place = self.follow(now, account);
+        let place = self.resolve_home(now, account);
         let way = self.way;
         let decided = match place {
-            HomePlace::Own if self.is_cut_off(now, account) => self.take_alone(now, account, quota),
-            HomePlace::Own => self.take_own(now, account),
+            HomePlace::Own if self.is_partitioned(now, account) => {
+                self.admit_standalone(now, account, quota)
+            }
+            HomePlace::Own => self.admit_at_home(now, account),
             HomePlace::Peer(..) => {
                 self.unsent.push(account);
                 let entry = self.entry(now, account);
-                if way == TokenWay::Ask || !entry.spend_ahead(now) {
-                    entry.ask(call);
-                    return effect::QuotaDecision::Waits;
+                if way == TokenMode::PerRequest || !entry.spend_ahead(now) {
+                    entry.enqueue(call);
+                    return effect::QuotaDecision::Pending;
                 }
                 Ok(())
             }
-            HomePlace::Nobody => self.take_alone(now, account, quota),
+            HomePlace::Nobody => self.admit_standalone(now, account, quota),
         };
         match decided {
             Ok(()) => {
@@ -252,9 +255,9 @@
     }
 
     /// Forgets a request that waits.
-    pub fn forget(&mut self, account: account::AccountId, call: u64) {
+    pub fn cancel(&mut self, account: account::AccountId, call: u64) {
         if let Some(entry) = self.entries.get_mut(account) {
-            entry.forget(call);
+            entry.cancel(call);
         }
     }
 
@@ -290,9 +293,9 @@
     /// Does what is due.
     pub fn on_wake(&mut self, now: time::NodeTime) -> Vec<effect::QuotaEffect> {
         let mut out = Vec::new();
-        self.silent.forget(now);
-        self.retried.forget(now);
-        self.heard.forget(now);
+        self.silent.remove_expired(now);
+        self.retried.remove_expired(now);
+        self.heard.remove_expired(now);
         if self.due_at.is_some_and(|due| due <= now) {
             let due = |entry: &entry::EntryAccount| entry.next_wake().is_some_and(|due| due <= now);
             for account in self.entries.keys_where(due) {
@@ -302,7 +305,7 @@
             self.due_at = due.flatten().min();
         }
         if now >= self.trim_at {
-            self.trim(now);
+            self.remove_expired(now);
         }
         out
     }
@@ -321,7 +324,7 @@
     /// Sends what has changed since the last call; to be called once after each event.
     pub fn flush(&mut self, now: time::NodeTime) -> Vec<effect::QuotaEffect> {
         let changes = self.changes.drain(..);
-        let mut out: Vec<_> = changes.map(effect::QuotaEffect::Report).collect();
+        let mut out: Vec<_> = changes.map(effect::QuotaEffect::Log).collect();
         if !self.is_idle() {
             self.send_handovers(now, &mut out);
             self.introduce(now, &mut out);
@@ -331,7 +334,7 @@
         }
         let mut reports: Vec<(SocketAddr, quota::UseReport)> = Vec::new();
         for account in std::mem::take(&mut self.unsent) {
-            let HomePlace::Peer(_, address) = self.follow(now, account) else {
+            let HomePlace::Peer(_, address) = self.resolve_home(now, account) else {
                 self.decide_waiting(now, account, &mut out);
                 continue;
             };
@@ -368,7 +371,7 @@
 
     fn size(&self, account: account::AccountId) -> Option<bucket::BucketSize> {
         let quota = self.quotas.get(account)?;
-        Some(bucket::BucketSize::of(*quota, self.ring.share()))
+        Some(bucket::BucketSize::of(*quota, self.ring.visible_share()))
     }
 
     fn send(
--- a/crates/anvil_quota/src/ledger/asking.rs
+++ b/crates/anvil_quota/src/ledger/entry_role.rs
@@ -19,7 +19,7 @@
             return;
         };
         if let Some(hint) = verdict.instead {
-            if entry.is_of_session(from, verdict) {
+            if entry.matches_session(from, verdict) {
                 self.follow_hint(now, verdict.account, hint);
             }
             return;
@@ -28,11 +28,11 @@
             self.begin_session(now, verdict.account, Some(from));
             return;
         }
-        for effect in entry.judged(now, from, verdict) {
+        for effect in entry.apply_verdict(now, from, verdict) {
             match effect {
                 effect::QuotaEffect::Grant { .. } => self.counters.granted_by_home += 1,
                 effect::QuotaEffect::Refuse { .. } => self.counters.refused += 1,
-                effect::QuotaEffect::Send { .. } | effect::QuotaEffect::Report(_) => {}
+                effect::QuotaEffect::Send { .. } | effect::QuotaEffect::Log(_) => {}
             }
             out.push(effect);
         }
@@ -55,9 +55,9 @@
         let home = self.entries.get(account).and_then(|entry| entry.home);
         if let Some(home) = home {
             self.counters.homes_silent += 1;
-            self.silent.mark(now, home, ledger::SILENT_SPAN);
+            self.silent.insert(now, home, ledger::SILENT_SPAN);
         }
-        match self.follow(now, account) {
+        match self.resolve_home(now, account) {
             ledger::HomePlace::Peer(..) => {}
             ledger::HomePlace::Own | ledger::HomePlace::Nobody => {
                 self.decide_waiting(now, account, out);
@@ -80,26 +80,26 @@
                 effect::QuotaDecision::Refused { pause } => {
                     out.push(effect::QuotaEffect::Refuse { call, pause });
                 }
-                effect::QuotaDecision::Waits => {}
+                effect::QuotaDecision::Pending => {}
             }
         }
     }
 
     /// Decides a request while no home answers.
-    pub(super) fn take_alone(
+    pub(super) fn admit_standalone(
         &mut self,
         now: time::NodeTime,
         account: account::AccountId,
         quota: account::AccountQuota,
     ) -> Result<(), Duration> {
-        let part = self.ring.part();
-        let taken = self.entry(now, account).take_alone(now, quota, part);
+        let part = self.ring.node_share();
+        let taken = self.entry(now, account).admit_standalone(now, quota, part);
         self.counters.refused_alone += u64::from(taken.is_err());
         taken
     }
 
     /// The home of an account, with whose session the entry goes on.
-    pub(super) fn follow(
+    pub(super) fn resolve_home(
         &mut self,
         now: time::NodeTime,
         account: account::AccountId,
@@ -108,7 +108,7 @@
         let tried = self.ring.homes(account).take(ledger::HOMES_TRIED);
         let found = tried
             .enumerate()
-            .find(|(_, known)| !silent.has(now, known.node));
+            .find(|(_, known)| !silent.contains(now, known.node));
         let stands_in = found.is_some_and(|(place, _)| place > 0);
         let found = found.map(|(_, known)| *known);
         let place = match found {
@@ -145,7 +145,7 @@
         }
         // Known already, and passed over for a reason.
         if !(hint.alive && self.retry_home(now, hint.node)) {
-            self.entry(now, account).insist();
+            self.entry(now, account).query_again();
         }
     }
 
@@ -155,10 +155,10 @@
     /// others ask the home, and both let in the whole rate. A home that only some can reach is asked again
     /// once in that time.
     fn retry_home(&mut self, now: time::NodeTime, home: ident::NodeId) -> bool {
-        if self.retried.has(now, home) {
+        if self.retried.contains(now, home) {
             return false;
         }
-        self.retried.mark(now, home, ledger::SILENT_SPAN);
+        self.retried.insert(now, home, ledger::SILENT_SPAN);
         self.silent.remove(home);
         true
     }
@@ -171,7 +171,7 @@
     ) {
         self.sessions += 1;
         let session = self.sessions;
-        self.entry(now, account).follow(home, session);
+        self.entry(now, account).begin_session(home, session);
         self.unsent.push(account);
     }
 
--- a/crates/anvil_quota/src/ledger/handing.rs
+++ b/crates/anvil_quota/src/ledger/handover_role.rs
@@ -53,17 +53,17 @@
         handover: &mut handover::PendingHandover,
         out: &mut Vec<effect::QuotaEffect>,
     ) -> bool {
-        if handover.is_given_up() {
+        if handover.is_exhausted() {
             return false;
         }
         let Some(to) = self.other_home(handover.account) else {
             // This node counts the account again.
             if let Some(home) = self.homes.get_mut(handover.account) {
-                home.keep_uses(now, handover.uses.slices(now));
+                home.restore_uses(now, handover.uses.slices(now));
             }
             return false;
         };
-        let message = quota::QuotaMessage::Handover(handover.send(now));
+        let message = quota::QuotaMessage::Handover(handover.next_message(now));
         self.send(to.address, message, out);
         true
     }
@@ -89,7 +89,7 @@
                 uses,
             };
             self.changes.push(change);
-            self.tighten(account, out);
+            self.revoke_ahead(account, out);
             if self.other_home(account).is_some() {
                 self.hand_over(now, account, now + FORWARD_PAUSE);
             }
@@ -101,6 +101,6 @@
     /// Forgets a handover that was taken, and notes that its home lives.
     pub(super) fn handover_taken(&mut self, now: time::NodeTime, from: ident::NodeId, number: u32) {
         self.handovers.retain(|pending| pending.number != number);
-        self.heard.mark(now, from, HEARD_SPAN);
+        self.heard.insert(now, from, HEARD_SPAN);
     }
 }
--- a/crates/anvil_quota/src/ledger/counting.rs
+++ b/crates/anvil_quota/src/ledger/home_role.rs
@@ -28,7 +28,7 @@
             }
             let home = self.own_home(now, told.account, size);
             verdicts.extend(home.report(now, size, from, *told));
-            self.tighten(told.account, out);
+            self.revoke_ahead(told.account, out);
         }
         if !verdicts.is_empty() {
             let message = quota::QuotaMessage::Verdict { verdicts };
@@ -39,7 +39,7 @@
     /// Names the home of an account that this node doesn't count and need not stand in for.
     fn hint_home(&self, now: time::NodeTime, told: quota::UseReport) -> Option<quota::UseVerdict> {
         let home = self.other_home(told.account)?;
-        let alive = self.heard.has(now, home.node);
+        let alive = self.heard.contains(now, home.node);
         if told.stands_in && !alive {
             return None;
         }
@@ -60,7 +60,7 @@
         })
     }
 
-    pub(super) fn take_own(
+    pub(super) fn admit_at_home(
         &mut self,
         now: time::NodeTime,
         account: account::AccountId,
@@ -76,7 +76,7 @@
     }
 
     /// Tells nodes that let requests in ahead when an account has come near its quota.
-    pub(super) fn tighten(
+    pub(super) fn revoke_ahead(
         &mut self,
         account: account::AccountId,
         out: &mut Vec<effect::QuotaEffect>,
@@ -87,7 +87,7 @@
         let Some(home) = self.homes.get_mut(account) else {
             return;
         };
-        for (to, verdict) in home.tighten(size, account) {
+        for (to, verdict) in home.revoke_ahead(size, account) {
             let verdicts = vec![verdict];
             self.send(to, quota::QuotaMessage::Verdict { verdicts }, out);
         }
@@ -101,7 +101,7 @@
                 continue;
             };
             let left = self.homes.get_mut(account);
-            if left.is_some_and(home::HomeAccount::move_away) {
+            if left.is_some_and(home::HomeAccount::mark_moved) {
                 let home = to.node;
                 self.changes
                     .push(effect::HomeChange::Left { account, home });
@@ -125,11 +125,11 @@
     ///
     /// Failure: a node is cut off and finds out member by member. Symptom: it takes over one account
     /// after another with the share of those that it still believes in, none of which can ask it.
-    pub(super) fn is_cut_off(&self, now: time::NodeTime, account: account::AccountId) -> bool {
+    pub(super) fn is_partitioned(&self, now: time::NodeTime, account: account::AccountId) -> bool {
         let home = self.homes.get(account);
         match self.silent.is_empty() && !self.ring.has_shrunk(now) {
-            true => home.is_some_and(|home| home.is_cut_off(now)),
-            false => !home.is_some_and(|home| home.is_asked(now)),
+            true => home.is_some_and(|home| home.is_partitioned(now)),
+            false => !home.is_some_and(|home| home.receives_reports(now)),
         }
     }
 
@@ -139,31 +139,31 @@
         account: account::AccountId,
         size: bucket::BucketSize,
     ) -> &mut home::HomeAccount {
-        let share = self.ring.share();
+        let share = self.ring.visible_share();
         let is_home = self.is_home(account);
         let known = self.homes.get(account);
-        if !is_home && known.is_some_and(|home| home.owes_handover(now)) {
+        if !is_home && known.is_some_and(|home| home.is_handover_due(now)) {
             self.hand_over(now, account, now);
         }
         let term = self.terms + 1;
         if self.homes.get(account).is_none() {
             self.terms = term;
         }
-        let tokens = home::fresh_tokens(size, share);
+        let tokens = home::initial_tokens(size, share);
         let home = self
             .homes
             .get_or_insert_with(account, || home::HomeAccount::new(now, size, tokens, term));
-        home.touch(now, size, share, is_home);
+        home.prepare(now, size, share, is_home);
         home
     }
 
-    pub(super) fn trim(&mut self, now: time::NodeTime) {
+    pub(super) fn remove_expired(&mut self, now: time::NodeTime) {
         self.trim_at = now + ledger::TRIM_INTERVAL;
-        self.ring.forget(now);
+        self.ring.remove_expired(now);
         let homes: Vec<_> = self.homes.iter().map(|(account, _)| *account).collect();
         for account in homes {
             if let Some(home) = self.homes.get_mut(account) {
-                home.trim(now);
+                home.remove_expired(now);
             }
         }
     }
--- a/crates/anvil_quota/src/ledger/introducing.rs
+++ b/crates/anvil_quota/src/ledger/ring_role.rs
@@ -112,7 +112,7 @@
 
     /// Takes in a node that another one named; false where it is known.
     pub(super) fn on_hint(&mut self, now: time::NodeTime, hint: quota::HomeHint) -> bool {
-        let added = self.ring.hint(now, hint.node, hint.address);
+        let added = self.ring.insert_hinted(now, hint.node, hint.address);
         if added {
             self.ring_changed(now);
         }
--- a/crates/anvil_quota/src/lib.rs
+++ b/crates/anvil_quota/src/lib.rs
@@ -8,10 +8,10 @@
 pub mod bucket;
 pub mod effect;
 pub mod entry;
+pub mod expiring;
 pub mod handover;
 pub mod home;
 pub mod ledger;
-pub mod marks;
 pub mod meter;
 pub mod recent;
 pub mod ring;
--- a/crates/anvil_quota/src/meter.rs
+++ b/crates/anvil_quota/src/meter.rs
@@ -28,17 +28,17 @@
 
     /// Events a second.
     pub fn rate(&self, now: time::NodeTime) -> f64 {
-        let passed = self.quiet(now).as_secs_f64();
+        let passed = self.idle_time(now).as_secs_f64();
         self.rate * (-passed / SPAN_SECONDS).exp()
     }
 
     /// Time since the last event.
-    pub fn quiet(&self, now: time::NodeTime) -> Duration {
+    pub fn idle_time(&self, now: time::NodeTime) -> Duration {
         now.since(self.at)
     }
 
     /// Events that the time since the last one should have brought.
-    pub fn overdue(&self, now: time::NodeTime) -> f64 {
-        self.rate * self.quiet(now).as_secs_f64()
+    pub fn missed_events(&self, now: time::NodeTime) -> f64 {
+        self.rate * self.idle_time(now).as_secs_f64()
     }
 }
--- a/crates/anvil_quota/src/ring.rs
+++ b/crates/anvil_quota/src/ring.rs
@@ -78,7 +78,12 @@
     }
 
     /// Takes in a node that another one named; false where it is known.
-    pub fn hint(&mut self, now: time::NodeTime, node: ident::NodeId, address: SocketAddr) -> bool {
+    pub fn insert_hinted(
+        &mut self,
+        now: time::NodeTime,
+        node: ident::NodeId,
+        address: SocketAddr,
+    ) -> bool {
         let added = RingNode::new(node, address, Some(now));
         match self.place(added.key()) {
             Ok(_) => false,
@@ -96,7 +101,7 @@
     }
 
     /// Drops a member that ended without a word.
-    pub fn lose(&mut self, now: time::NodeTime, node: ident::NodeId) {
+    pub fn remove_crashed(&mut self, now: time::NodeTime, node: ident::NodeId) {
         let Some(gone) = self.remove(node) else {
             return;
         };
@@ -118,7 +123,7 @@
     /// of a cut, and what it forgot would let both sides use the whole quota.
     ///
     /// A node that was named and that membership doesn't know of later has ended, most likely.
-    pub fn forget(&mut self, now: time::NodeTime) {
+    pub fn remove_expired(&mut self, now: time::NodeTime) {
         let stale = |known: &RingNode| known.hinted.is_some_and(|at| now.since(at) >= HINT_KEPT);
         self.nodes.retain(|known| !stale(known));
         if self.lost.len() < self.nodes.len() {
@@ -141,7 +146,7 @@
     }
 
     /// The share of the fleet that this node sees.
-    pub fn share(&self) -> f64 {
+    pub fn visible_share(&self) -> f64 {
         let seen = self.nodes.len().max(1) as f64;
         seen / (seen + self.lost.len() as f64)
     }
@@ -153,7 +158,7 @@
     }
 
     /// One node's part of the fleet.
-    pub fn part(&self) -> f64 {
+    pub fn node_share(&self) -> f64 {
         1.0 / (self.nodes.len() + self.lost.len()).max(1) as f64
     }
 
--- a/crates/anvil_quota/tests/fleet/mod.rs
+++ b/crates/anvil_quota/tests/fleet/mod.rs
@@ -54,7 +54,7 @@
     /// Seed of all chance.
     pub(crate) seed: u64,
     /// When tokens are taken.
-    pub(crate) way: ledger::TokenWay,
+    pub(crate) way: ledger::TokenMode,
     /// Longest time that a datagram takes, in microseconds.
     pub(crate) delay_micros: u64,
     /// Datagrams lost of a thousand.
@@ -339,7 +339,7 @@
             }
             effect::QuotaEffect::Grant { call } => self.admitted(call as usize),
             effect::QuotaEffect::Refuse { call, .. } => self.calls[call as usize].refused = true,
-            effect::QuotaEffect::Report(_) => {}
+            effect::QuotaEffect::Log(_) => {}
         }
     }
 
@@ -359,7 +359,7 @@
             admitted: None,
             refused: false,
         });
-        let mut decided = effect::QuotaDecision::Waits;
+        let mut decided = effect::QuotaDecision::Pending;
         self.step(node, |ledger, now| {
             decided = ledger.admit(now, account_id(account), call as u64);
             Vec::new()
@@ -367,7 +367,7 @@
         match decided {
             effect::QuotaDecision::Granted => self.admitted(call),
             effect::QuotaDecision::Refused { .. } => self.calls[call].refused = true,
-            effect::QuotaDecision::Waits => {}
+            effect::QuotaDecision::Pending => {}
         }
     }
 
@@ -423,7 +423,7 @@
             FleetFault::Freeze(node, span) => {
                 self.nodes[node].frozen_until = self.now + span;
                 if let Some(ledger) = &mut self.nodes[node].ledger {
-                    ledger.paused();
+                    ledger.on_pause();
                 }
                 let id = self.nodes[node].id;
                 if span > Duration::from_secs(2) {
@@ -480,7 +480,7 @@
         self.step(node, |ledger, now| {
             match up {
                 true => ledger.member_up(now, member, address(other)),
-                false => ledger.member_gone(now, member, true),
+                false => ledger.member_removed(now, member, true),
             }
             Vec::new()
         });
--- a/crates/anvil_quota/tests/neighbours.rs
+++ b/crates/anvil_quota/tests/neighbours.rs
@@ -27,7 +27,7 @@
 /// A node that knows no other one.
 fn alone() -> ledger::QuotaLedger {
     let own = ident::NodeId(1);
-    let mut ledger = ledger::QuotaLedger::new(own, ledger::TokenWay::Ahead);
+    let mut ledger = ledger::QuotaLedger::new(own, ledger::TokenMode::Ahead);
     ledger.member_up(at(0), own, address(1));
     let quota = account::AccountQuota::per_second(100, 20);
     ledger.set_quotas(at(0), &[(ACCOUNT, quota)]);
@@ -42,7 +42,7 @@
     (2..60).any(|node| {
         let mut ledger = alone();
         tell(&mut ledger, node);
-        ledger.admit(at(20), ACCOUNT, 7) == effect::QuotaDecision::Waits
+        ledger.admit(at(20), ACCOUNT, 7) == effect::QuotaDecision::Pending
     })
 }
 
--- a/crates/anvil_quota/tests/sums.rs
+++ b/crates/anvil_quota/tests/sums.rs
@@ -36,7 +36,7 @@
     FleetPlan {
         nodes,
         seed,
-        way: ledger::TokenWay::Ahead,
+        way: ledger::TokenMode::Ahead,
         delay_micros: 3_000,
         lost_per_mille: 10,
         length: secs(20),
--- a/crates/anvil_quota/tests/waiting.rs
+++ b/crates/anvil_quota/tests/waiting.rs
@@ -16,13 +16,13 @@
     let nodes = (1..100).map(ident::NodeId);
     for home in nodes.skip(1) {
         let own = ident::NodeId(1);
-        let mut ledger = ledger::QuotaLedger::new(own, ledger::TokenWay::Ask);
+        let mut ledger = ledger::QuotaLedger::new(own, ledger::TokenMode::PerRequest);
         ledger.member_up(time::NodeTime::START, own, address(1));
         ledger.member_up(time::NodeTime::START, home, address(2));
         let quota = account::AccountQuota::per_second(10, 10);
         ledger.set_quotas(time::NodeTime::START, &[(ACCOUNT, quota)]);
         let now = time::NodeTime::from_millis(1);
-        if ledger.admit(now, ACCOUNT, 7) == effect::QuotaDecision::Waits {
+        if ledger.admit(now, ACCOUNT, 7) == effect::QuotaDecision::Pending {
             return (ledger, home);
         }
     }
@@ -48,7 +48,7 @@
 fn what_waited_for_a_home_that_left_is_decided() {
     let (mut ledger, home) = beside_its_home();
     assert!(!ledger.flush(time::NodeTime::from_millis(1)).is_empty());
-    ledger.member_gone(time::NodeTime::from_millis(2), home, false);
+    ledger.member_removed(time::NodeTime::from_millis(2), home, false);
     let expected = [effect::QuotaEffect::Grant { call: 7 }];
     assert_eq!(run(&mut ledger), expected);
 }
