--- a/crates/anvil_once/src/adopt.rs
+++ b/crates/anvil_once/src/adopt.rs
@@ -1,4 +1,4 @@
-//! How a node's part in a slot follows the records that it reads or hears of.
+//! Updating a node's role in a slot to the records that it reads or receives.
 
 use anvil_types::{ident, time};
 use anvil_wire::key;
@@ -6,28 +6,30 @@
 use crate::{effect, owner, role, table};
 
 impl owner::KeyOwner {
-    /// Takes in a record of the store, read by this node at `confirmed` or by another one;
-    /// returns whether it is news.
+    /// Applies a record of the store; returns whether it is newer than the known one.
+    ///
+    /// `confirmed_at` is the time at which the store is known to have held it, or `None` if only
+    /// another node said so.
     pub(crate) fn learn(
         &mut self,
         now: time::NodeTime,
         view: key::SlotView,
-        confirmed: Option<time::NodeTime>,
+        confirmed_at: Option<time::NodeTime>,
     ) -> bool {
-        let news = self.views.learn(view);
-        if news {
+        let is_newer = self.views.learn(view);
+        if is_newer {
             self.adopt(now, view);
         }
-        self.confirm(now, view, confirmed);
-        news
+        self.confirm(now, view, confirmed_at);
+        is_newer
     }
 
-    /// When a view told by its own proposer was confirmed at the latest.
+    /// A time by which the store has confirmed a view that was received from its proposer.
     ///
-    /// The proposer tells as soon as it knows, and no connection delivers a message minutes later,
-    /// so a successor grants at once and reads the record in its turn. A view passed on by another
-    /// node may be of any age and confirms nothing.
-    pub(crate) fn told_by_proposer(
+    /// The proposer sends the view as soon as the swap has taken effect, and no connection delivers
+    /// a message minutes late. So a new primary can grant keys at once and read the record at the
+    /// next tick. A view that another node forwards may be of any age and confirms nothing.
+    pub(crate) fn confirmed_by_proposer(
         &self,
         now: time::NodeTime,
         from: ident::NodeId,
@@ -37,12 +39,12 @@
         (from == view.proposer).then(|| time::NodeTime(now.0.saturating_sub(span)))
     }
 
-    /// Notes when the store last named this node as the primary.
+    /// Updates when the store last confirmed this node as the primary.
     fn confirm(
         &mut self,
         now: time::NodeTime,
         view: key::SlotView,
-        confirmed: Option<time::NodeTime>,
+        confirmed_at: Option<time::NodeTime>,
     ) {
         let Some(owned) = self.owned_mut(view.slot) else {
             return;
@@ -51,33 +53,33 @@
         let Some(role) = owned.primary_mut().filter(|_| current) else {
             return;
         };
-        role.confirmed = role.confirmed.max(confirmed);
-        // A primary told of its role by another node reads the record before it grants.
-        if role.confirmed.is_none() {
+        role.confirmed_at = role.confirmed_at.max(confirmed_at);
+        // A primary that learnt of its role from another node reads the record before it grants.
+        if role.confirmed_at.is_none() {
             self.begin_change(now, view.slot);
         }
     }
 
-    /// Makes this node's part in a slot follow a new record.
+    /// Changes this node's role in a slot according to a new record.
     fn adopt(&mut self, now: time::NodeTime, view: key::SlotView) {
-        let before = match self.place(view.slot) {
+        let previous = match self.slot_position(view.slot) {
             Ok(at) => Some(self.slots.remove(at)),
             Err(_) => None,
         };
-        let other = before.as_ref().and_then(role::OwnedSlot::other);
-        let was_primary = before
+        let other = previous.as_ref().and_then(role::OwnedSlot::other);
+        let was_primary = previous
             .as_ref()
             .is_some_and(|owned| owned.primary().is_some());
         if was_primary && view.primary != self.own && view.proposer == self.own {
             self.counters.handed_over += 1;
         }
         if view.primary == self.own {
-            self.adopt_primary(now, view, before);
+            self.adopt_primary(now, view, previous);
         } else if view.backup == Some(self.own) {
             self.adopt_backup(view);
         }
-        // The other owner of the last epoch may live: it grants as soon as it knows that it
-        // succeeds, and leaves as soon as it knows that it is replaced.
+        // The other owner of the previous epoch may be alive. A successor can grant keys as soon as
+        // it knows its role, and a replaced owner can stop as soon as it knows that it is one.
         if let Some(other) = other.filter(|_| view.proposer == self.own) {
             self.send(other, key::KeyMessage::View(view));
         }
@@ -87,22 +89,22 @@
         &mut self,
         now: time::NodeTime,
         view: key::SlotView,
-        before: Option<role::OwnedSlot>,
+        previous: Option<role::OwnedSlot>,
     ) {
         let follows = |owned: &&role::OwnedSlot| {
-            owned.is_whole() && owned.epoch.next() == view.epoch && !view.lost
+            owned.is_complete() && owned.epoch.next() == view.epoch && !view.lost
         };
-        let whole = view.epoch == key::SlotEpoch::FIRST
-            || before.as_ref().is_some_and(|owned| follows(&owned));
-        let takes_over = before
+        let complete = view.epoch == key::SlotEpoch::FIRST
+            || previous.as_ref().is_some_and(|owned| follows(&owned));
+        let takes_over = previous
             .as_ref()
             .is_none_or(|owned| owned.primary().is_none());
-        let (table, order, doubt, pending) = match before {
-            Some(owned) => split(owned),
+        let (table, order, uncertain_until, pending) = match previous {
+            Some(owned) => into_history(owned),
             None => (table::KeyTable::default(), 0, None, Vec::new()),
         };
-        let doubt = if whole {
-            doubt
+        let uncertain_until = if complete {
+            uncertain_until
         } else {
             Some(now + self.policy.retention)
         };
@@ -110,12 +112,12 @@
             backup: view.backup,
             copy: None,
             pending,
-            confirmed: None,
+            confirmed_at: None,
         };
         let order = order.max(table.highest_order());
         let role = role::SlotRole::Primary(role);
-        self.install(view, table, (order, doubt), role);
-        self.count_takeover(&view, whole, takes_over);
+        self.install(view, table, (order, uncertain_until), role);
+        self.count_takeover(&view, complete, takes_over);
         self.start_copy(now, view.slot);
     }
 
@@ -123,9 +125,9 @@
         let role = role::BackupRole {
             primary: view.primary,
             next_part: 0,
-            // The first record of a slot has nothing to copy, but the primary sends an empty copy
-            // all the same, so that there is one way only.
-            whole: false,
+            // The primary of a new slot has nothing to copy but sends an empty copy all the same,
+            // so that there is only one path to a complete backup.
+            complete: false,
         };
         let role = role::SlotRole::Backup(role);
         self.install(view, table::KeyTable::default(), (0, None), role);
@@ -135,27 +137,27 @@
         &mut self,
         view: key::SlotView,
         table: table::KeyTable,
-        past: (u64, Option<time::NodeTime>),
+        history: (u64, Option<time::NodeTime>),
         role: role::SlotRole,
     ) {
-        let (order, doubt) = past;
+        let (order, uncertain_until) = history;
         let owned = role::OwnedSlot {
             slot: view.slot,
             epoch: view.epoch,
             table,
             order,
-            doubt,
+            uncertain_until,
             role,
         };
-        let (Ok(at) | Err(at)) = self.place(view.slot);
+        let (Ok(at) | Err(at)) = self.slot_position(view.slot);
         self.slots.insert(at, owned);
     }
 
-    fn count_takeover(&mut self, view: &key::SlotView, whole: bool, takes_over: bool) {
+    fn count_takeover(&mut self, view: &key::SlotView, complete: bool, takes_over: bool) {
         let (slot, epoch) = (view.slot, view.epoch);
-        if !whole {
+        if !complete {
             self.counters.taken_lost += 1;
-            let text = format!("slot taken without its records: slot={slot} epoch={epoch}");
+            let text = format!("slot taken over without its records: slot={slot} epoch={epoch}");
             self.push(effect::KeyEffect::Report(text));
         } else if takes_over && epoch != key::SlotEpoch::FIRST {
             self.counters.taken_over += 1;
@@ -165,17 +167,17 @@
     }
 }
 
-type SlotPast = (
+type SlotHistory = (
     table::KeyTable,
     u64,
     Option<time::NodeTime>,
     Vec<role::PendingGrant>,
 );
 
-fn split(owned: role::OwnedSlot) -> SlotPast {
+fn into_history(owned: role::OwnedSlot) -> SlotHistory {
     let pending = match owned.role {
         role::SlotRole::Primary(role) => role.pending,
         role::SlotRole::Backup(_) => Vec::new(),
     };
-    (owned.table, owned.order, owned.doubt, pending)
+    (owned.table, owned.order, owned.uncertain_until, pending)
 }
--- a/crates/anvil_once/src/backup.rs
+++ b/crates/anvil_once/src/backup.rs
@@ -1,4 +1,4 @@
-//! The backup's side: it holds a copy of the primary's records.
+//! The backup's side: holding a copy of the primary's records.
 
 use std::time::Duration;
 
@@ -8,24 +8,24 @@
 use crate::{owner, role};
 
 impl owner::KeyOwner {
-    /// Keeps one record and acknowledges it.
-    pub(crate) fn keep_record(
+    /// Stores one record and acknowledges it.
+    pub(crate) fn handle_record(
         &mut self,
         now: time::NodeTime,
         from: ident::NodeId,
-        at: (key::SlotId, key::SlotEpoch),
+        slot_epoch: (key::SlotId, key::SlotEpoch),
         record: key::KeyRecord,
     ) {
-        let (slot, epoch) = at;
+        let (slot, epoch) = slot_epoch;
         let order = record.order;
         let checked = self.policy.guards.epoch_check;
-        let held = match self.backup_of(at, from) {
+        let held = match self.backup_of(slot_epoch, from) {
             Some(owned) => owned.table.merge(now, record),
-            // A primary that was replaced while it was paused would get the acknowledgement that
-            // its new grant needs, though the key is held by another call of the next epoch. The
-            // epoch tells that its time is over.
+            // A primary that was replaced while its process was paused would receive the
+            // acknowledgement that it needs for a grant, although another call may hold the key in
+            // the next epoch. The epoch check rejects its record.
             None if checked => {
-                self.refuse_epoch(from, at);
+                self.reject_stale_epoch(from, slot_epoch);
                 return;
             }
             None => {
@@ -43,11 +43,11 @@
 
     pub(crate) fn erase_record(
         &mut self,
-        at: (key::SlotId, key::SlotEpoch),
+        slot_epoch: (key::SlotId, key::SlotEpoch),
         key: ident::RequestKey,
         order: u64,
     ) {
-        let (slot, epoch) = at;
+        let (slot, epoch) = slot_epoch;
         let Some(owned) = self.owned_mut(slot) else {
             return;
         };
@@ -60,19 +60,19 @@
         }
     }
 
-    /// Keeps one part of a copy and acknowledges it.
-    pub(crate) fn keep_part(
+    /// Stores one part of a copy and acknowledges it.
+    pub(crate) fn handle_copy_part(
         &mut self,
         now: time::NodeTime,
         from: ident::NodeId,
         view: &key::SlotView,
-        place: (u32, bool),
+        part_and_last: (u32, bool),
         records: Vec<key::KeyRecord>,
     ) {
-        let (part, last) = place;
-        let at = (view.slot, view.epoch);
-        let Some(owned) = self.backup_of(at, from) else {
-            self.refuse_epoch(from, at);
+        let (part, last) = part_and_last;
+        let slot_epoch = (view.slot, view.epoch);
+        let Some(owned) = self.backup_of(slot_epoch, from) else {
+            self.reject_stale_epoch(from, slot_epoch);
             return;
         };
         let role::SlotRole::Backup(role) = &mut owned.role else {
@@ -83,7 +83,7 @@
         }
         if part == role.next_part {
             role.next_part += 1;
-            role.whole = role.whole || last;
+            role.complete = role.complete || last;
             for record in records {
                 owned.table.merge(now, record);
             }
@@ -96,36 +96,40 @@
         self.send(from, message);
     }
 
-    /// Takes over for how long unknown keys stay in doubt.
-    pub(crate) fn keep_doubt(
+    /// Stores for how long the primary still counts unknown keys as possibly run.
+    pub(crate) fn set_uncertainty(
         &mut self,
         now: time::NodeTime,
         view: &key::SlotView,
-        doubt: Duration,
+        uncertainty: Duration,
     ) {
-        let at = (view.slot, view.epoch);
-        if let Some(owned) = self.backup_of(at, view.primary)
-            && !doubt.is_zero()
+        let slot_epoch = (view.slot, view.epoch);
+        if let Some(owned) = self.backup_of(slot_epoch, view.primary)
+            && !uncertainty.is_zero()
         {
-            owned.doubt = Some(now + doubt);
+            owned.uncertain_until = Some(now + uncertainty);
         }
     }
 
     fn backup_of(
         &mut self,
-        at: (key::SlotId, key::SlotEpoch),
+        slot_epoch: (key::SlotId, key::SlotEpoch),
         from: ident::NodeId,
     ) -> Option<&mut role::OwnedSlot> {
-        let owned = self.owned_mut(at.0)?;
+        let owned = self.owned_mut(slot_epoch.0)?;
         let role::SlotRole::Backup(role) = &owned.role else {
             return None;
         };
-        (role.primary == from && owned.epoch == at.1).then_some(owned)
+        (role.primary == from && owned.epoch == slot_epoch.1).then_some(owned)
     }
 
-    /// Tells a primary of an earlier epoch that it was replaced.
-    fn refuse_epoch(&mut self, from: ident::NodeId, at: (key::SlotId, key::SlotEpoch)) {
-        let (slot, epoch) = at;
+    /// Sends the current view to a primary of an earlier epoch, which has been replaced.
+    fn reject_stale_epoch(
+        &mut self,
+        from: ident::NodeId,
+        slot_epoch: (key::SlotId, key::SlotEpoch),
+    ) {
+        let (slot, epoch) = slot_epoch;
         let newer = self.views.get(slot).filter(|view| view.epoch > epoch);
         if let Some(view) = newer {
             self.counters.stale_epoch += 1;
--- a/crates/anvil_once/src/change.rs
+++ b/crates/anvil_once/src/change.rs
@@ -1,55 +1,57 @@
-//! Changes of a slot's owners, through the platform's store.
+//! Changes of a slot's owners in the platform's store.
 //!
-//! Every change is a read followed by a swap of the version read. Whatever comes of the swap, the
-//! node acts on records that it has read or heard of, never on what it hoped to write.
+//! Every change is a read followed by a compare-and-swap of the version that was read. Until the
+//! outcome of the swap is known, the node acts only on records that it has read or received, never
+//! on the one that it tried to write.
 
 use anvil_types::time;
 use anvil_wire::key;
 
 use crate::{effect, event, owner, policy, role, slots};
 
-/// Where a change stands.
+/// The progress of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum ChangeStage {
-    /// The record was asked for.
+    /// The record was requested.
     Reading,
-    /// A new record was proposed.
+    /// A swap to this record was requested.
     Swapping(key::SlotView),
-    /// The store did not answer; nothing is asked until `sent` lies far enough back.
-    Resting,
+    /// The store did not reply at `sent_at`; the next request waits for `KeyPolicy::store_retry`.
+    BackingOff,
 }
 
-/// A change of one slot under way.
+/// A change of one slot in progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct SlotChange {
     slot: key::SlotId,
     id: effect::SlotRequestId,
-    sent: time::NodeTime,
+    sent_at: time::NodeTime,
     stage: ChangeStage,
 }
 
-/// Questions of a change: a read and a swap.
-const CHANGE_COST: u32 = 2;
+/// Requests of one change: a read and a swap.
+const REQUESTS_PER_CHANGE: u32 = 2;
 
-/// How many questions a node may still ask the store.
+/// A token bucket that limits the requests of a node to the store.
 ///
-/// A crash in a small fleet changes hundreds of slots at once. Asked together they would exceed
-/// the node's share of the store's rates, be refused, and look like an outage to callers.
+/// A crash in a small fleet changes hundreds of slots at once. Sent together, the requests would
+/// exceed the node's share of the store's rate limits and be rejected, which callers would see as
+/// an outage.
 #[derive(Clone, Copy, Debug, Hash)]
-pub(crate) struct StorePace {
+pub(crate) struct StoreBudget {
     tokens: u32,
-    earned: time::NodeTime,
+    refilled_at: time::NodeTime,
 }
 
-impl StorePace {
+impl StoreBudget {
     pub(crate) const fn new(now: time::NodeTime, burst: u32) -> Self {
         Self {
             tokens: burst,
-            earned: now,
+            refilled_at: now,
         }
     }
 
-    /// Takes the cost of one change, or tells when it is earned.
+    /// Takes the tokens for one change, or returns when they will be available.
     fn take(
         &mut self,
         now: time::NodeTime,
@@ -59,45 +61,45 @@
         if interval.is_zero() {
             return Ok(());
         }
-        let count = now.since(self.earned).as_micros() / interval.as_micros();
+        let count = now.since(self.refilled_at).as_micros() / interval.as_micros();
         let count = u32::try_from(count).unwrap_or(u32::MAX);
-        self.earned = self.earned + interval.saturating_mul(count);
+        self.refilled_at = self.refilled_at + interval.saturating_mul(count);
         self.tokens = self
             .tokens
             .saturating_add(count)
             .min(policy.store_request_burst);
-        if self.tokens < CHANGE_COST {
-            return Err(self.earned + interval * CHANGE_COST);
+        if self.tokens < REQUESTS_PER_CHANGE {
+            return Err(self.refilled_at + interval * REQUESTS_PER_CHANGE);
         }
-        self.tokens -= CHANGE_COST;
+        self.tokens -= REQUESTS_PER_CHANGE;
         Ok(())
     }
 }
 
 impl owner::KeyOwner {
-    /// Reads a slot's record, to change it where that is still called for.
+    /// Reads a slot's record, to change it if that is still necessary.
     pub(crate) fn begin_change(&mut self, now: time::NodeTime, slot: key::SlotId) {
-        let rested = |change: &SlotChange| {
-            change.stage == ChangeStage::Resting
-                && now.since(change.sent) >= self.policy.store_retry
+        let retry_due = |change: &SlotChange| {
+            change.stage == ChangeStage::BackingOff
+                && now.since(change.sent_at) >= self.policy.store_retry
         };
-        match self.change_place(slot) {
-            Ok(at) if rested(&self.changes[at]) => {
+        match self.change_position(slot) {
+            Ok(at) if retry_due(&self.changes[at]) => {
                 self.changes.remove(at);
             }
             Ok(_) => return,
             Err(_) => {}
         }
-        // The tick looks again at every slot whose owners should change.
-        if let Err(earned) = self.pace.take(now, &self.policy) {
-            self.wake_at(earned);
+        // The next tick checks every slot whose owners should change again.
+        if let Err(refilled_at) = self.store_budget.take(now, &self.policy) {
+            self.wake_at(refilled_at);
             return;
         }
         let request = effect::SlotRequest::Read { slot };
-        self.ask_store(now, slot, ChangeStage::Reading, request);
+        self.request_slot(now, slot, ChangeStage::Reading, request);
     }
 
-    pub(crate) fn take_reply(
+    pub(crate) fn handle_store_reply(
         &mut self,
         now: time::NodeTime,
         id: effect::SlotRequestId,
@@ -108,47 +110,47 @@
         };
         let change = self.changes[at];
         if reply == event::SlotReply::Unknown {
-            self.rest(now, at);
+            self.back_off(now, at);
             return;
         }
-        self.store_out = false;
+        self.store_unavailable = false;
         self.changes.remove(at);
-        let sent = Some(change.sent);
+        let sent_at = Some(change.sent_at);
         match (reply, change.stage) {
             (event::SlotReply::Found(found), _) => {
                 if let Some((view, _)) = found {
-                    self.learn(now, view, sent);
+                    self.learn(now, view, sent_at);
                 }
                 self.propose(now, change.slot, found);
             }
             (event::SlotReply::Swapped { .. }, ChangeStage::Swapping(view)) => {
-                self.learn(now, view, sent);
+                self.learn(now, view, sent_at);
             }
             (event::SlotReply::Conflict(Some((view, _))), _) => {
                 self.counters.store_conflict += 1;
-                self.learn(now, view, sent);
+                self.learn(now, view, sent_at);
             }
             _ => {}
         }
     }
 
-    /// Asks nothing about a slot for a while.
+    /// Sends no request about a slot for a while after the store failed to reply.
     ///
-    /// A swap may have taken effect and its answer got lost. Repeating it blindly could undo a
-    /// later change; the next read tells what stands there.
-    fn rest(&mut self, now: time::NodeTime, at: usize) {
-        self.store_out = true;
+    /// A swap may have taken effect although its reply was lost. Repeating it blindly could undo a
+    /// later change, so the next attempt begins with a read.
+    fn back_off(&mut self, now: time::NodeTime, at: usize) {
+        self.store_unavailable = true;
         self.counters.store_unknown += 1;
-        self.changes[at].stage = ChangeStage::Resting;
-        self.changes[at].sent = now;
+        self.changes[at].stage = ChangeStage::BackingOff;
+        self.changes[at].sent_at = now;
         self.wake_at(now + self.policy.store_retry);
     }
 
-    /// Whether the store is out and nothing was asked about `slot` since.
-    pub(crate) fn is_resting(&self, slot: key::SlotId) -> bool {
-        let at = self.change_place(slot).ok();
-        let asked = at.is_some_and(|at| self.changes[at].stage != ChangeStage::Resting);
-        self.store_out && !asked
+    /// Whether the store is unavailable and no request about `slot` has been sent since.
+    pub(crate) fn is_backing_off(&self, slot: key::SlotId) -> bool {
+        let at = self.change_position(slot).ok();
+        let requested = at.is_some_and(|at| self.changes[at].stage != ChangeStage::BackingOff);
+        self.store_unavailable && !requested
     }
 
     fn propose(
@@ -158,7 +160,7 @@
         found: Option<(key::SlotView, u64)>,
     ) {
         let current = found.map(|(view, _)| view);
-        // Someone may have told of a newer record than the one read a moment ago.
+        // A newer record may have arrived from another node while this one was being read.
         if self.views.get(slot) != current {
             return;
         }
@@ -167,10 +169,10 @@
         };
         let expected = found.map(|(_, version)| version);
         let request = effect::SlotRequest::Swap { expected, view };
-        self.ask_store(now, slot, ChangeStage::Swapping(view), request);
+        self.request_slot(now, slot, ChangeStage::Swapping(view), request);
     }
 
-    /// Asks the store about every owned slot whose owners should change.
+    /// Begins a change of every owned slot whose owners should change.
     pub(crate) fn check_slots(&mut self, now: time::NodeTime) {
         let slots: Vec<_> = self.slots.iter().map(|owned| owned.slot).collect();
         for slot in slots {
@@ -182,10 +184,10 @@
 
     pub(crate) fn tick_changes(&mut self, now: time::NodeTime) {
         self.check_slots(now);
-        let every = self.policy.confirm_interval;
+        let interval = self.policy.confirm_interval;
         let due = |owned: &&role::OwnedSlot| {
-            let confirmed = owned.primary().map(|role| role.confirmed);
-            confirmed.is_some_and(|at| at.is_none_or(|at| now.since(at) >= every))
+            let confirmed_at = owned.primary().map(|role| role.confirmed_at);
+            confirmed_at.is_some_and(|at| at.is_none_or(|at| now.since(at) >= interval))
         };
         let slots: Vec<_> = self
             .slots
@@ -198,57 +200,57 @@
         }
         for at in 0..self.changes.len() {
             let change = &self.changes[at];
-            let late = now.since(change.sent) >= self.policy.store_timeout;
-            if change.stage != ChangeStage::Resting && late {
-                self.rest(now, at);
+            let timed_out = now.since(change.sent_at) >= self.policy.store_timeout;
+            if change.stage != ChangeStage::BackingOff && timed_out {
+                self.back_off(now, at);
             }
         }
         let retry = self.policy.store_retry;
-        let over = |change: &SlotChange| {
-            change.stage == ChangeStage::Resting && now.since(change.sent) > retry
+        let expired = |change: &SlotChange| {
+            change.stage == ChangeStage::BackingOff && now.since(change.sent_at) > retry
         };
-        self.changes.retain(|change| !over(change));
+        self.changes.retain(|change| !expired(change));
     }
 
-    /// Claims slots that this node would own and that have no record yet.
+    /// Claims slots without a record for which this node is the preferred owner.
     ///
-    /// A slot claimed only when its first key comes would refuse that key in an outage of the
-    /// store; one claimed ahead needs no store.
-    pub(crate) fn claim_ahead(&mut self, now: time::NodeTime) {
-        if self.leaving || now.since(self.started) < self.policy.claim_delay {
+    /// A slot that is claimed only when its first key arrives would refuse that key during a store
+    /// outage; a slot that was claimed in advance does not need the store.
+    pub(crate) fn claim_unowned_slots(&mut self, now: time::NodeTime) {
+        if self.leaving || now.since(self.started_at) < self.policy.claim_delay {
             return;
         }
         for _ in 0..self.policy.claim_scan_slots {
-            let slot = key::SlotId(self.claim_next);
-            self.claim_next = (self.claim_next + 1) % slots::SLOT_COUNT;
-            if self.views.get(slot).is_none() && self.preferred(slot) == Some(self.own) {
+            let slot = key::SlotId(self.next_claim_slot);
+            self.next_claim_slot = (self.next_claim_slot + 1) % slots::SLOT_COUNT;
+            if self.views.get(slot).is_none() && self.preferred_owner(slot) == Some(self.own) {
                 self.begin_change(now, slot);
             }
         }
     }
 
-    fn ask_store(
+    fn request_slot(
         &mut self,
         now: time::NodeTime,
         slot: key::SlotId,
         stage: ChangeStage,
         request: effect::SlotRequest,
     ) {
-        self.last_ask += 1;
+        self.last_request_id += 1;
         self.counters.store_asked += 1;
-        let id = effect::SlotRequestId(self.last_ask);
+        let id = effect::SlotRequestId(self.last_request_id);
         let change = SlotChange {
             slot,
             id,
-            sent: now,
+            sent_at: now,
             stage,
         };
-        let (Ok(at) | Err(at)) = self.change_place(slot);
+        let (Ok(at) | Err(at)) = self.change_position(slot);
         self.changes.insert(at, change);
         self.push(effect::KeyEffect::RequestSlot { id, request });
     }
 
-    fn change_place(&self, slot: key::SlotId) -> Result<usize, usize> {
+    fn change_position(&self, slot: key::SlotId) -> Result<usize, usize> {
         self.changes
             .binary_search_by_key(&slot, |change| change.slot)
     }
--- a/crates/anvil_once/src/counters.rs
+++ b/crates/anvil_once/src/counters.rs
@@ -1,47 +1,48 @@
-//! What the key owners of a node count.
+//! Counters of the key owners of a node.
 
 use std::hash;
 
 use serde::Serialize;
 
-/// Counts since the start of the process.
+/// Counters since the start of the process.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct KeyCounters {
     /// Keys granted by this node as a primary.
     pub granted: u64,
-    /// Duplicates answered from the kept answer.
+    /// Duplicates answered from the cached answer.
     pub answered_again: u64,
-    /// Duplicates told that the first copy is running.
+    /// Duplicates refused because the first copy is running.
     pub in_progress: u64,
-    /// Questions answered as may-have-run.
+    /// Requests answered as may-have-run for another reason.
     pub doubtful: u64,
-    /// Keys used for another request.
+    /// Requests refused because their key was used for another request.
     pub mismatched: u64,
-    /// Questions refused because this node could not grant.
+    /// Requests refused because this node could not grant keys.
     pub unavailable: u64,
-    /// Questions asked again at once or later, because owners were changing.
+    /// Requests to be retried because the owners of the slot were changing.
     pub busy: u64,
-    /// Questions sent on, because this node is not the primary.
+    /// Requests redirected because this node is not the primary.
     pub not_owner: u64,
-    /// Messages of an earlier epoch refused.
+    /// Messages rejected because of an earlier epoch.
     pub stale_epoch: u64,
     /// Slots taken over from a missing primary.
     pub taken_over: u64,
-    /// Slots taken without records, because both owners were missing.
+    /// Slots taken over without their records, because both owners were missing.
     pub taken_lost: u64,
-    /// Slots handed over on a planned stop.
+    /// Slots handed over to their backups in a planned stop.
     pub handed_over: u64,
-    /// Records dropped because their retention ended.
+    /// Records removed because their retention ended.
     pub expired: u64,
-    /// Questions to the store.
+    /// Requests to the store.
     pub store_asked: u64,
-    /// Questions to the store without an answer.
+    /// Requests to the store without a reply.
     pub store_unknown: u64,
-    /// Swaps that another node won.
+    /// Swaps that failed because another node changed the record first.
     pub store_conflict: u64,
 }
 
-/// Counts decide nothing, so states that differ only in them are the same state.
+/// Counters influence no decision, so the exhaustive tests treat states that differ only in them as
+/// equal.
 impl hash::Hash for KeyCounters {
     fn hash<H>(&self, _: &mut H)
     where
--- a/crates/anvil_once/src/dump.rs
+++ b/crates/anvil_once/src/dump.rs
@@ -1,4 +1,4 @@
-//! The state of the key owners for the dump.
+//! The state of the key owners as `/dump` reports it.
 
 use anvil_types::ident;
 use serde::Serialize;
@@ -18,40 +18,41 @@
     pub other: Option<String>,
     /// Records held.
     pub records: usize,
-    /// Bytes of answers kept.
+    /// Bytes of cached answers.
     pub answer_bytes: usize,
     /// Keys that wait for the backup's acknowledgement.
     pub pending: usize,
-    /// Whether the two hold the same records.
+    /// Whether both owners hold all records.
     pub whole: bool,
     /// Whether unknown keys are answered as may-have-run, because records were lost.
     pub in_doubt: bool,
 }
 
-/// The state of the key owners for the dump.
+/// The state of the key owners.
 #[derive(Clone, Debug, Serialize)]
 pub struct KeyDump {
     /// Slots whose owners this node knows.
     pub known_slots: usize,
     /// Slots that this node owns.
     pub owned: Vec<SlotDump>,
-    /// Calls of this node that wait for a key, hold one, or have an outcome to deliver.
+    /// Calls of this node that wait for a key, hold one or have an outcome to deliver, and recently
+    /// abandoned ones.
     pub asks: usize,
-    /// Changes of owners under way in the store.
+    /// Reads and changes of slot records in progress.
     pub changes: usize,
     /// Whether the node is handing over.
     pub leaving: bool,
-    /// Counts since the start.
+    /// Counters since the start of the process.
     pub counters: counters::KeyCounters,
 }
 
 impl owner::KeyOwner {
-    /// The state for the dump.
+    /// Captures the current state.
     pub fn dump(&self) -> KeyDump {
         KeyDump {
             known_slots: self.views.list().len(),
             owned: self.slots.iter().map(dump_slot).collect(),
-            asks: self.asks.len(),
+            asks: self.requests.len(),
             changes: self.changes.len(),
             leaving: self.leaving,
             counters: self.counters,
@@ -67,7 +68,7 @@
             role.pending.len(),
             role.copy.is_none(),
         ),
-        role::SlotRole::Backup(role) => ("backup", Some(role.primary), 0, role.whole),
+        role::SlotRole::Backup(role) => ("backup", Some(role.primary), 0, role.complete),
     };
     SlotDump {
         slot: owned.slot.0,
@@ -78,6 +79,6 @@
         answer_bytes: owned.table.answer_bytes(),
         pending,
         whole,
-        in_doubt: owned.doubt.is_some(),
+        in_doubt: owned.uncertain_until.is_some(),
     }
 }
--- a/crates/anvil_once/src/effect.rs
+++ b/crates/anvil_once/src/effect.rs
@@ -1,14 +1,14 @@
-//! Everything that the key owners of a node want done.
+//! Outputs of the state machine.
 
 use anvil_types::{ident, verdict};
 use anvil_wire::{call, key};
 use derive_more::Display;
 
-/// One question of the key owners to the store.
+/// Identifies a request to the store, so that its reply is matched.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SlotRequestId(pub u64);
 
-/// A question of the key owners to the store.
+/// A request to the store about the record of a slot.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum SlotRequest {
     /// Read the record of a slot.
@@ -16,27 +16,27 @@
         /// The slot.
         slot: key::SlotId,
     },
-    /// Replace the record of a slot where it still has the expected version.
+    /// Replace the record of a slot if it still has the expected version.
     Swap {
-        /// The version read; none where the slot had no record.
+        /// The version that was read; `None` if the slot had no record.
         expected: Option<u64>,
         /// The new record.
         view: key::SlotView,
     },
 }
 
-/// What the owners say about a call's key where they don't grant it.
+/// How a call ends whose key was not granted.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum KeyVerdict {
-    /// An earlier copy was answered; this is its answer.
+    /// An earlier copy of the request was answered; this is its answer.
     Answered(Box<call::CallAnswer>),
     /// This call did not run and will not.
     NotRun(verdict::RefusalReason),
-    /// An earlier copy may have run.
+    /// An earlier copy of the request may have run.
     MayHaveRun(verdict::DoubtReason),
 }
 
-/// Everything that the key owners of a node want done.
+/// An output of the state machine.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum KeyEffect {
     /// Send a message to another node.
@@ -46,25 +46,25 @@
         /// The message.
         message: key::KeyMessage,
     },
-    /// Run the call; its end is reported by [`crate::event::KeyEvent::Ended`].
+    /// Run the call and report how it ended by [`crate::event::KeyEvent::Ended`].
     Dispatch {
         /// The call.
         call: ident::CallId,
     },
-    /// Tell the caller; the call is over.
+    /// End the call without running it, with this verdict.
     Decide {
         /// The call.
         call: ident::CallId,
-        /// What to tell.
+        /// The verdict for the caller.
         verdict: KeyVerdict,
     },
-    /// Ask the store.
+    /// Send a request to the store.
     RequestSlot {
-        /// Names the question.
+        /// The id that the reply carries.
         id: SlotRequestId,
-        /// The question.
+        /// The request.
         request: SlotRequest,
     },
-    /// A change of state worth a log line.
+    /// Write a log line about a change of state.
     Report(String),
 }
--- a/crates/anvil_once/src/entry.rs
+++ b/crates/anvil_once/src/entry.rs
@@ -1,4 +1,4 @@
-//! The entry node's side: it asks for its own calls and tells how they ended.
+//! The entry node's side: requesting keys for its calls and reporting how the calls ended.
 
 use std::time::Duration;
 
@@ -7,159 +7,168 @@
 
 use crate::{effect, event, owner, proposal, slots};
 
-/// A call's question for a key.
+/// A call's request for its key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct KeyQuestion {
+pub(crate) struct KeyRequest {
     /// The call.
     pub(crate) call: ident::CallId,
     /// The key.
     pub(crate) key: ident::RequestKey,
-    /// The digest of the request.
-    pub(crate) print: ident::PrintHash,
+    /// The digest of the caller's request.
+    pub(crate) fingerprint: ident::PrintHash,
 }
 
-/// How far a call of this node has come with its key.
+/// The progress of a request for a key.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) enum AskState {
-    /// The owner has not decided.
-    Asking,
-    /// The call is over and will never run; kept for a late grant.
+pub(crate) enum RequestState {
+    /// The owner has not decided yet.
+    Pending,
+    /// The call is over and will never run; retained so that a late grant is returned.
     Abandoned {
-        /// Whether an owner may hold the key for it still.
-        held: bool,
+        /// Whether the owner may still record the call as the holder of the key.
+        may_hold_key: bool,
     },
     /// The call runs.
     Granted,
-    /// The call is over and the owner has not confirmed that it knows how.
+    /// The call has ended, and the owner has not confirmed its outcome yet.
     Ended(key::KeyOutcome),
 }
 
-/// A call of this node that asked for a key.
+/// A call of this node that has requested a key.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct KeyAsk {
-    pub(crate) question: KeyQuestion,
-    pub(crate) state: AskState,
-    /// The node asked last.
+pub(crate) struct RequestEntry {
+    pub(crate) request: KeyRequest,
+    pub(crate) state: RequestState,
+    /// The node that the last message was sent to.
     target: ident::NodeId,
-    /// Chooses the node to ask next.
-    tried: usize,
-    /// Whether the node asked last has answered or is known not to.
-    answered: bool,
-    /// When to repeat.
-    next: time::NodeTime,
-    /// When to give up or to forget.
-    until: time::NodeTime,
+    /// Selects the next target among the candidates; see [`owner::KeyOwner::route`].
+    target_index: usize,
+    /// Whether `target` has replied, or is known to be unreachable.
+    target_answered: bool,
+    /// When to send the next message.
+    retry_at: time::NodeTime,
+    /// When to abandon a pending request, or to remove a finished one.
+    expires_at: time::NodeTime,
 }
 
-impl KeyAsk {
-    pub(crate) const fn holds_node(&self) -> bool {
-        matches!(self.state, AskState::Granted | AskState::Ended(_))
+impl RequestEntry {
+    /// Whether a leaving node has to wait for this call.
+    pub(crate) const fn delays_stop(&self) -> bool {
+        matches!(self.state, RequestState::Granted | RequestState::Ended(_))
     }
 
-    /// How the call ended, as far as its owner has not confirmed to know.
-    fn untold_outcome(&self) -> Option<key::KeyOutcome> {
+    /// The outcome of the call, if the owner still has to be notified of it.
+    fn unconfirmed_outcome(&self) -> Option<key::KeyOutcome> {
         match &self.state {
-            AskState::Ended(outcome) => Some(outcome.clone()),
-            AskState::Abandoned { held: true } => Some(key::KeyOutcome::NotRun),
-            AskState::Asking | AskState::Granted | AskState::Abandoned { held: false } => None,
+            RequestState::Ended(outcome) => Some(outcome.clone()),
+            RequestState::Abandoned { may_hold_key: true } => Some(key::KeyOutcome::NotRun),
+            RequestState::Pending
+            | RequestState::Granted
+            | RequestState::Abandoned {
+                may_hold_key: false,
+            } => None,
         }
     }
 }
 
 impl owner::KeyOwner {
-    pub(crate) fn ask(&mut self, now: time::NodeTime, question: KeyQuestion, wait: Duration) {
-        if self.asks.len() >= self.policy.max_requests {
+    pub(crate) fn request_key(&mut self, now: time::NodeTime, request: KeyRequest, wait: Duration) {
+        if self.requests.len() >= self.policy.max_requests {
             let reason = verdict::RefusalReason::KeyUnavailable;
-            self.decide(question.call, effect::KeyVerdict::NotRun(reason));
+            self.decide(request.call, effect::KeyVerdict::NotRun(reason));
             return;
         }
-        let Err(at) = self.ask_place(question.call) else {
+        let Err(at) = self.request_position(request.call) else {
             return;
         };
-        let ask = KeyAsk {
-            question,
-            state: AskState::Asking,
+        let entry = RequestEntry {
+            request,
+            state: RequestState::Pending,
             target: self.own,
-            tried: 0,
-            answered: false,
-            next: now,
-            until: now + wait,
+            target_index: 0,
+            target_answered: false,
+            retry_at: now,
+            expires_at: now + wait,
         };
-        self.asks.insert(at, ask);
+        self.requests.insert(at, entry);
         self.wake_at(now + wait);
-        self.send_ask(now, at);
+        self.send_request(now, at);
     }
 
     pub(crate) fn abandon(&mut self, now: time::NodeTime, call: ident::CallId) {
-        if let Some(at) = self.asking(call) {
+        if let Some(at) = self.pending_position(call) {
             self.give_up(now, at);
         }
     }
 
-    pub(crate) fn end(
+    pub(crate) fn finish(
         &mut self,
         now: time::NodeTime,
         call: ident::CallId,
-        end: event::CallOutcome,
+        outcome: event::CallOutcome,
     ) {
-        let Ok(at) = self.ask_place(call) else { return };
-        if self.asks[at].state != AskState::Granted {
+        let Ok(at) = self.request_position(call) else {
+            return;
+        };
+        if self.requests[at].state != RequestState::Granted {
             return;
         }
-        let outcome = match end {
+        let outcome = match outcome {
             event::CallOutcome::Answered(answer) => key::KeyOutcome::Answered(Some(answer)),
             event::CallOutcome::NotRun => key::KeyOutcome::NotRun,
             event::CallOutcome::MayHaveRun(reason) => key::KeyOutcome::MayHaveRun(reason),
         };
-        let ask = &mut self.asks[at];
-        ask.state = AskState::Ended(outcome);
-        ask.until = now + self.policy.max_call_duration;
+        let entry = &mut self.requests[at];
+        entry.state = RequestState::Ended(outcome);
+        entry.expires_at = now + self.policy.max_call_duration;
         self.send_outcome(now, at);
     }
 
-    /// Takes a grant; the call runs only under its first one.
-    pub(crate) fn take_grant(
+    /// Handles a grant; a call runs only under its first one.
+    pub(crate) fn handle_grant(
         &mut self,
         now: time::NodeTime,
         from: ident::NodeId,
         call: ident::CallId,
         key: ident::RequestKey,
     ) {
-        let late = |ask: &KeyAsk| now > ask.until;
-        let Ok(at) = self.ask_place(call) else {
-            self.refuse_unknown_grant(from, call, key);
+        let late = |entry: &RequestEntry| now > entry.expires_at;
+        let Ok(at) = self.request_position(call) else {
+            self.reject_unknown_grant(from, call, key);
             return;
         };
-        match &self.asks[at].state {
-            AskState::Asking if late(&self.asks[at]) => self.give_up(now, at),
-            AskState::Asking => self.dispatch(at),
-            // A grant repeated on the way, or by the next primary, would run the call again: the
-            // target would count two runs. One call has one run, whoever grants it.
-            AskState::Abandoned { .. } | AskState::Granted
+        match &self.requests[at].state {
+            RequestState::Pending if late(&self.requests[at]) => self.give_up(now, at),
+            RequestState::Pending => self.dispatch(at),
+            // A grant that is duplicated by the network, or repeated by the next primary, must not
+            // run the call a second time.
+            RequestState::Abandoned { .. } | RequestState::Granted
                 if !self.policy.guards.one_run_per_call =>
             {
                 self.dispatch(at);
             }
-            AskState::Abandoned { .. } => self.return_grant(from, call, key),
-            AskState::Granted => {}
-            AskState::Ended(_) => self.send_outcome(now, at),
+            RequestState::Abandoned { .. } => self.return_grant(from, call, key),
+            RequestState::Granted => {}
+            RequestState::Ended(_) => self.send_outcome(now, at),
         }
     }
 
-    pub(crate) fn take_refusal(
+    pub(crate) fn handle_refusal(
         &mut self,
         now: time::NodeTime,
         call: ident::CallId,
         refusal: key::KeyRefusal,
     ) {
-        let Some(at) = self.asking(call) else { return };
+        let Some(at) = self.pending_position(call) else {
+            return;
+        };
         let verdict = match refusal {
             key::KeyRefusal::Busy => {
-                self.repeat_later(now, at);
+                self.retry_later(now, at);
                 return;
             }
             key::KeyRefusal::NotOwner(view) => {
-                self.follow_view(now, at, view);
+                self.handle_redirect(now, at, view);
                 return;
             }
             key::KeyRefusal::Answered(answer) => effect::KeyVerdict::Answered(answer),
@@ -171,102 +180,119 @@
                 effect::KeyVerdict::NotRun(verdict::RefusalReason::KeyUnavailable)
             }
         };
-        self.shelve(now, at, false);
+        self.mark_abandoned(now, at, false);
         self.decide(call, verdict);
     }
 
-    pub(crate) fn forget_outcome(&mut self, call: ident::CallId) {
-        let Ok(at) = self.ask_place(call) else { return };
-        match self.asks[at].state {
-            AskState::Ended(_) => {
-                self.asks.remove(at);
+    pub(crate) fn handle_settled(&mut self, call: ident::CallId) {
+        let Ok(at) = self.request_position(call) else {
+            return;
+        };
+        match self.requests[at].state {
+            RequestState::Ended(_) => {
+                self.requests.remove(at);
             }
-            AskState::Abandoned { .. } => {
-                self.asks[at].state = AskState::Abandoned { held: false };
+            RequestState::Abandoned { .. } => {
+                self.requests[at].state = RequestState::Abandoned {
+                    may_hold_key: false,
+                };
             }
-            AskState::Asking | AskState::Granted => {}
+            RequestState::Pending | RequestState::Granted => {}
         }
     }
 
-    /// Sends the outcomes of a slot to its new primary, or soon where the view is no news.
-    pub(crate) fn resend_outcomes(&mut self, now: time::NodeTime, slot: key::SlotId, news: bool) {
-        let soon = now + self.policy.request_retry;
-        for at in 0..self.asks.len() {
-            let ask = &mut self.asks[at];
-            let concerned = slots::slot_of(ask.question.key) == slot;
-            if !concerned || ask.untold_outcome().is_none() {
+    /// Sends the outcomes of a slot to its new primary; if the view is not newer than the known
+    /// one, after a short delay instead.
+    pub(crate) fn resend_outcomes(
+        &mut self,
+        now: time::NodeTime,
+        slot: key::SlotId,
+        is_newer: bool,
+    ) {
+        let retry_at = now + self.policy.request_retry;
+        for at in 0..self.requests.len() {
+            let entry = &mut self.requests[at];
+            let same_slot = slots::slot_of(entry.request.key) == slot;
+            if !same_slot || entry.unconfirmed_outcome().is_none() {
                 continue;
             }
-            ask.next = ask.next.min(soon);
-            // The node that told of the view is not the primary.
-            ask.tried += usize::from(!ask.answered);
-            ask.answered = true;
-            if news {
-                ask.tried = 0;
+            entry.retry_at = entry.retry_at.min(retry_at);
+            // A node that replies with a view is not the primary.
+            entry.target_index += usize::from(!entry.target_answered);
+            entry.target_answered = true;
+            if is_newer {
+                entry.target_index = 0;
                 self.send_outcome(now, at);
             }
-            self.wake_at(soon);
+            self.wake_at(retry_at);
         }
     }
 
-    pub(crate) fn lose_messages(&mut self, now: time::NodeTime, node: ident::NodeId) {
-        let soon = now + self.policy.request_retry;
-        for ask in &mut self.asks {
-            if ask.target == node {
-                ask.tried += usize::from(!ask.answered);
-                ask.answered = true;
-                ask.next = ask.next.min(soon);
+    pub(crate) fn handle_unreachable(&mut self, now: time::NodeTime, node: ident::NodeId) {
+        let retry_at = now + self.policy.request_retry;
+        for entry in &mut self.requests {
+            if entry.target == node {
+                entry.target_index += usize::from(!entry.target_answered);
+                entry.target_answered = true;
+                entry.retry_at = entry.retry_at.min(retry_at);
             }
         }
-        self.wake_at(soon);
+        self.wake_at(retry_at);
     }
 
-    pub(crate) fn tick_asks(&mut self, now: time::NodeTime) {
-        for at in 0..self.asks.len() {
-            let ask = &self.asks[at];
-            match ask.state {
-                AskState::Asking if ask.until <= now => self.give_up(now, at),
-                AskState::Asking if ask.next <= now => {
-                    self.turn_from_silent(at);
-                    self.send_ask(now, at);
+    pub(crate) fn tick_requests(&mut self, now: time::NodeTime) {
+        for at in 0..self.requests.len() {
+            let entry = &self.requests[at];
+            match entry.state {
+                RequestState::Pending if entry.expires_at <= now => self.give_up(now, at),
+                RequestState::Pending if entry.retry_at <= now => {
+                    self.skip_silent_target(at);
+                    self.send_request(now, at);
                 }
-                AskState::Ended(_) | AskState::Abandoned { held: true } if ask.next <= now => {
-                    self.turn_from_silent(at);
+                RequestState::Ended(_) | RequestState::Abandoned { may_hold_key: true }
+                    if entry.retry_at <= now =>
+                {
+                    self.skip_silent_target(at);
                     self.send_outcome(now, at);
                 }
                 _ => {}
             }
         }
-        let forgotten = |ask: &KeyAsk| {
-            let over = matches!(ask.state, AskState::Abandoned { .. } | AskState::Ended(_));
-            over && ask.until <= now
+        let expired = |entry: &RequestEntry| {
+            let over = matches!(
+                entry.state,
+                RequestState::Abandoned { .. } | RequestState::Ended(_)
+            );
+            over && entry.expires_at <= now
+        };
+        self.requests.retain(|entry| !expired(entry));
+        let active = |entry: &&RequestEntry| {
+            entry.state == RequestState::Pending || entry.unconfirmed_outcome().is_some()
         };
-        self.asks.retain(|ask| !forgotten(ask));
-        let waits = |ask: &&KeyAsk| ask.state == AskState::Asking || ask.untold_outcome().is_some();
         let next = self
-            .asks
+            .requests
             .iter()
-            .filter(waits)
-            .map(|ask| ask.next.min(ask.until))
+            .filter(active)
+            .map(|entry| entry.retry_at.min(entry.expires_at))
             .min();
         if let Some(next) = next {
             self.wake_at(next);
         }
     }
 
-    /// Turns to the next node where the last one did not answer.
+    /// Advances to the next candidate if the last target did not reply.
     ///
-    /// One that answered was turned from, or is to be asked again; turning twice would come back
-    /// to the same one of two owners for ever.
-    fn turn_from_silent(&mut self, at: usize) {
-        let ask = &mut self.asks[at];
-        ask.tried += usize::from(!ask.answered);
+    /// For a target that replied, the index has already been advanced, or the same target is to be
+    /// used again. Advancing twice would select the same one of two owners forever.
+    fn skip_silent_target(&mut self, at: usize) {
+        let entry = &mut self.requests[at];
+        entry.target_index += usize::from(!entry.target_answered);
     }
 
     fn dispatch(&mut self, at: usize) {
-        let ask = &mut self.asks[at];
-        ask.state = AskState::Granted;
-        let call = ask.question.call;
+        let entry = &mut self.requests[at];
+        entry.state = RequestState::Granted;
+        let call = entry.request.call;
         self.push(effect::KeyEffect::Dispatch { call });
     }
 
@@ -274,23 +300,24 @@
         self.push(effect::KeyEffect::Decide { call, verdict });
     }
 
-    /// Ends a call that waited too long, and frees its key where the owner has recorded it.
+    /// Abandons a pending request, and releases its key if the owner has recorded it.
     ///
-    /// Failure: the owner granted the key and the grant was lost, or the word that the call is over
-    /// went to a node that is not the owner. Symptom: every later copy hears that the first one is in
-    /// progress, for as long as a call may last, though it never ran. The word is repeated, also to
-    /// other nodes, until the owner has confirmed it.
+    /// The owner may have granted the key although the grant was lost, and the notice that the call
+    /// is over may be lost too or reach a node that is not the owner. Every later copy of the
+    /// request would then be refused as in progress for as long as a call may last, although the
+    /// first one never ran. So the notice is repeated, also to other nodes, until the owner has
+    /// confirmed it.
     fn give_up(&mut self, now: time::NodeTime, at: usize) {
-        let call = self.asks[at].question.call;
-        self.shelve(now, at, true);
+        let call = self.requests[at].request.call;
+        self.mark_abandoned(now, at, true);
         self.send_outcome(now, at);
         let reason = verdict::RefusalReason::KeyUnavailable;
         self.decide(call, effect::KeyVerdict::NotRun(reason));
     }
 
-    fn shelve(&mut self, now: time::NodeTime, at: usize, held: bool) {
-        self.asks[at].state = AskState::Abandoned { held };
-        self.asks[at].until = now + self.policy.abandoned_retention;
+    fn mark_abandoned(&mut self, now: time::NodeTime, at: usize, may_hold_key: bool) {
+        self.requests[at].state = RequestState::Abandoned { may_hold_key };
+        self.requests[at].expires_at = now + self.policy.abandoned_retention;
     }
 
     fn return_grant(&mut self, to: ident::NodeId, call: ident::CallId, key: ident::RequestKey) {
@@ -298,8 +325,9 @@
         self.send(to, key::KeyMessage::Settle { call, key, outcome });
     }
 
-    /// Nothing is known about the call any more, so it may have run; it won't run now.
-    fn refuse_unknown_grant(
+    /// Answers a grant for a call that this node has no entry for: the call won't run now, but may
+    /// have run before.
+    fn reject_unknown_grant(
         &mut self,
         from: ident::NodeId,
         call: ident::CallId,
@@ -309,71 +337,90 @@
         self.send(from, key::KeyMessage::Settle { call, key, outcome });
     }
 
-    /// Asks the primary of a newer view at once.
+    /// Handles the reply of a node that is not the primary, with the view that it knows.
     ///
-    /// A view that is no news would send the question around between nodes that know no better,
-    /// as fast as the network allows; it waits its turn instead.
-    fn follow_view(&mut self, now: time::NodeTime, at: usize, view: Option<key::SlotView>) {
+    /// The request is sent to the primary of a newer view at once. After a view that is not newer
+    /// it waits for the retry delay; otherwise it would circulate between nodes with outdated views
+    /// as fast as the network allows.
+    fn handle_redirect(&mut self, now: time::NodeTime, at: usize, view: Option<key::SlotView>) {
         if view.is_some_and(|view| self.learn(now, view, None)) {
-            self.asks[at].tried = 0;
-            self.send_ask(now, at);
+            self.requests[at].target_index = 0;
+            self.send_request(now, at);
             return;
         }
-        self.asks[at].tried += 1;
-        let slot = slots::slot_of(self.asks[at].question.key);
+        self.requests[at].target_index += 1;
+        let slot = slots::slot_of(self.requests[at].request.key);
         let known = self.views.get(slot);
-        let nobody_knows = view.is_none() && known.is_none();
-        // A backup may not know yet that it is one; with the primary gone, nobody else tells it.
+        let owner_unknown = view.is_none() && known.is_none();
+        // A backup may not know its role yet, and a dead primary can't notify it.
         if let Some(known) = known.filter(|known| view.is_none_or(|view| view.epoch < known.epoch))
         {
-            let target = self.asks[at].target;
+            let target = self.requests[at].target;
             self.send(target, key::KeyMessage::View(known));
         }
-        // The store is out and the slot was never claimed: waiting would change nothing.
-        if nobody_knows && self.asks[at].tried >= proposal::LIKELY_NODES {
+        // No node knows an owner: the slot was never claimed and the store is unavailable, so a
+        // retry would change nothing.
+        if owner_unknown && self.requests[at].target_index >= proposal::MAX_LIKELY_OWNERS {
             self.give_up(now, at);
             return;
         }
-        self.repeat_later(now, at);
+        self.retry_later(now, at);
     }
 
-    fn repeat_later(&mut self, now: time::NodeTime, at: usize) {
+    fn retry_later(&mut self, now: time::NodeTime, at: usize) {
         let next = now + self.policy.request_retry;
-        self.asks[at].next = next;
-        self.asks[at].answered = true;
+        self.requests[at].retry_at = next;
+        self.requests[at].target_answered = true;
         self.wake_at(next);
     }
 
-    fn send_ask(&mut self, now: time::NodeTime, at: usize) {
-        let KeyQuestion { call, key, print } = self.asks[at].question;
-        let target = self.aim(now, at);
-        self.send(target, key::KeyMessage::Ask { call, key, print });
+    fn send_request(&mut self, now: time::NodeTime, at: usize) {
+        let KeyRequest {
+            call,
+            key,
+            fingerprint,
+        } = self.requests[at].request;
+        let target = self.select_target(now, at);
+        self.send(
+            target,
+            key::KeyMessage::Ask {
+                call,
+                key,
+                print: fingerprint,
+            },
+        );
     }
 
     fn send_outcome(&mut self, now: time::NodeTime, at: usize) {
-        let Some(outcome) = self.asks[at].untold_outcome() else {
+        let Some(outcome) = self.requests[at].unconfirmed_outcome() else {
             return;
         };
-        let KeyQuestion { call, key, .. } = self.asks[at].question;
-        let target = self.aim(now, at);
+        let KeyRequest { call, key, .. } = self.requests[at].request;
+        let target = self.select_target(now, at);
         self.send(target, key::KeyMessage::Settle { call, key, outcome });
     }
 
-    /// Chooses the node that the next message of an ask goes to, and when to repeat it.
-    fn aim(&mut self, now: time::NodeTime, at: usize) -> ident::NodeId {
-        let question = self.asks[at].question;
-        let target = self.route(now, question.key, self.asks[at].tried);
+    /// Selects the node that the next message of a request goes to, and when to repeat it.
+    fn select_target(&mut self, now: time::NodeTime, at: usize) -> ident::NodeId {
+        let request = self.requests[at].request;
+        let target = self.route(now, request.key, self.requests[at].target_index);
         let next = now + self.policy.send_retry;
-        let ask = &mut self.asks[at];
-        ask.target = target;
-        ask.answered = false;
-        ask.next = next;
+        let entry = &mut self.requests[at];
+        entry.target = target;
+        entry.target_answered = false;
+        entry.retry_at = next;
         self.wake_at(next);
         target
     }
 
-    /// The node to ask: the primary, then the backup, then whoever would take the slot.
-    fn route(&self, now: time::NodeTime, key: ident::RequestKey, tried: usize) -> ident::NodeId {
+    /// The node to send a request to: the owners that are not missing, the primary first, or the
+    /// likely owners if there are none.
+    fn route(
+        &self,
+        now: time::NodeTime,
+        key: ident::RequestKey,
+        target_index: usize,
+    ) -> ident::NodeId {
         let slot = slots::slot_of(key);
         let view = self.views.get(slot);
         let owners = view.map(|view| [Some(view.primary), view.backup]);
@@ -381,19 +428,19 @@
         let present = |node: &ident::NodeId| !self.is_missing(now, *node, Duration::ZERO);
         let mut nodes: Vec<ident::NodeId> = owners.filter(present).collect();
         if nodes.is_empty() {
-            nodes = self.likely(slot);
+            nodes = self.likely_owners(slot);
         }
-        let at = tried % nodes.len().max(1);
+        let at = target_index % nodes.len().max(1);
         nodes.get(at).copied().unwrap_or(self.own)
     }
 
-    fn asking(&self, call: ident::CallId) -> Option<usize> {
-        let at = self.ask_place(call).ok()?;
-        (self.asks[at].state == AskState::Asking).then_some(at)
+    fn pending_position(&self, call: ident::CallId) -> Option<usize> {
+        let at = self.request_position(call).ok()?;
+        (self.requests[at].state == RequestState::Pending).then_some(at)
     }
 
-    fn ask_place(&self, call: ident::CallId) -> Result<usize, usize> {
-        self.asks
-            .binary_search_by_key(&call, |ask| ask.question.call)
+    fn request_position(&self, call: ident::CallId) -> Result<usize, usize> {
+        self.requests
+            .binary_search_by_key(&call, |entry| entry.request.call)
     }
 }
--- a/crates/anvil_once/src/event.rs
+++ b/crates/anvil_once/src/event.rs
@@ -1,4 +1,4 @@
-//! Everything that can happen to the key owners of a node.
+//! Inputs of the state machine.
 
 use std::time::Duration;
 
@@ -7,48 +7,48 @@
 
 use crate::{effect, peers};
 
-/// What the store answered to a question about a slot.
+/// What the store replied to a [`effect::SlotRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum SlotReply {
-    /// The record read, with its version, or none where the slot has no record.
+    /// The record that was read, with its version; `None` if the slot has no record.
     Found(Option<(key::SlotView, u64)>),
     /// The swap took effect.
     Swapped {
         /// The version of the new record.
         version: u64,
     },
-    /// The swap did not take effect, because the record is another one.
+    /// The swap did not take effect because the record has changed; the current one.
     Conflict(Option<(key::SlotView, u64)>),
-    /// No answer; a swap may have taken effect.
+    /// No reply arrived; a swap may have taken effect.
     Unknown,
 }
 
 /// How a granted call ended at its entry node.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum CallOutcome {
-    /// Answered whole.
+    /// It was answered completely.
     Answered(Box<call::CallAnswer>),
-    /// Proved not to have run; no attempt is out or will follow.
+    /// It provably did not run; no attempt is in flight or will follow.
     NotRun,
-    /// Nobody can tell.
+    /// Whether it ran is unknown.
     MayHaveRun(verdict::DoubtReason),
 }
 
-/// Everything that can happen to the key owners of a node.
+/// An input of the state machine.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum KeyEvent {
-    /// A call of this node wants to run a key.
+    /// A call of this node requests its key.
     Request {
-        /// The call; never used for another one.
+        /// The call; its id is never reused.
         call: ident::CallId,
         /// The key.
         key: ident::RequestKey,
-        /// The digest of the request.
+        /// The digest of the request, which tells a duplicate from a reused key.
         fingerprint: ident::PrintHash,
-        /// How long an answer is waited for.
+        /// How long to wait for a grant.
         wait: Duration,
     },
-    /// The caller went away before the key was granted.
+    /// The caller disconnected before the key was granted.
     Abandon {
         /// The call.
         call: ident::CallId,
@@ -57,7 +57,7 @@
     Ended {
         /// The call.
         call: ident::CallId,
-        /// How.
+        /// How it ended.
         outcome: CallOutcome,
     },
     /// A message from another node.
@@ -67,22 +67,22 @@
         /// The message.
         message: key::KeyMessage,
     },
-    /// Messages to a node may be lost: its connection broke or did not come about.
+    /// Messages to a node may be lost: its connection broke or could not be established.
     Unreachable {
         /// The node.
         node: ident::NodeId,
     },
-    /// Membership changed.
+    /// Membership reported a node's state.
     Peer(peers::KeyPeer),
-    /// The store answered.
+    /// The store replied, or failed to.
     StoreReplied {
-        /// Which question.
+        /// The request.
         id: effect::SlotRequestId,
-        /// The answer.
+        /// The reply.
         reply: SlotReply,
     },
-    /// Time has passed.
+    /// Time has passed; see [`crate::owner::KeyOwner::next_wake`].
     Tick,
-    /// The node stops; its slots go to others.
+    /// The node begins a planned stop and hands its slots over.
     Leave,
 }
--- a/crates/anvil_once/src/grant.rs
+++ b/crates/anvil_once/src/grant.rs
@@ -1,4 +1,4 @@
-//! The primary's side: it grants keys and keeps how the granted calls ended.
+//! The primary's side: granting keys.
 
 use std::time::Duration;
 
@@ -7,83 +7,86 @@
 
 use crate::{entry, owner, role, slots, table};
 
-/// What becomes of a question.
-enum AskJudgement {
-    /// The key is recorded for this very call.
+/// The primary's decision on a request for a key.
+enum GrantDecision {
+    /// Grant: the key is already recorded for this call.
     Grant,
-    /// The backup has not acknowledged the call's record.
+    /// Wait: the backup has not acknowledged the call's record yet.
     Wait,
-    /// The key is new.
+    /// Record the key, since it is new.
     Record,
-    /// The call must not run the key now.
+    /// Refuse: the call must not run the key now.
     Refuse(key::KeyRefusal),
 }
 
 impl owner::KeyOwner {
-    pub(crate) fn answer_ask(
+    pub(crate) fn handle_request(
         &mut self,
         now: time::NodeTime,
         from: ident::NodeId,
-        question: entry::KeyQuestion,
+        request: entry::KeyRequest,
     ) {
-        // A grant goes to the node that can run the call; nobody asks for another node's call.
-        if question.call.node != from {
+        // A grant is sent to the node of the call, so only that node may request it.
+        if request.call.node != from {
             return;
         }
-        match self.judge(now, question) {
-            AskJudgement::Grant => self.grant(question.call, question.key),
-            AskJudgement::Wait => {}
-            AskJudgement::Record => self.record(now, question),
-            AskJudgement::Refuse(refusal) => self.refuse(question.call, refusal),
+        match self.decide_grant(now, request) {
+            GrantDecision::Grant => self.grant(request.call, request.key),
+            GrantDecision::Wait => {}
+            GrantDecision::Record => self.record(now, request),
+            GrantDecision::Refuse(refusal) => self.refuse(request.call, refusal),
         }
     }
 
-    fn judge(&mut self, now: time::NodeTime, question: entry::KeyQuestion) -> AskJudgement {
-        let slot = slots::slot_of(question.key);
+    fn decide_grant(&mut self, now: time::NodeTime, request: entry::KeyRequest) -> GrantDecision {
+        let slot = slots::slot_of(request.key);
         let Some((owned, role)) = self.owned_primary(slot) else {
-            return AskJudgement::Refuse(self.redirect(now, slot));
+            return GrantDecision::Refuse(self.redirect(now, slot));
         };
-        if let Some(entry) = owned.table.get(question.key) {
-            return self.judge_known(now, question, entry, &role.pending);
+        if let Some(entry) = owned.table.get(request.key) {
+            return self.decide_known_key(now, request, entry, &role.pending);
         }
         let copying = role.copy.is_some();
         let full = owned.table.len() >= self.policy.max_records;
-        let doubt = owned.doubt.is_some_and(|until| now < until);
-        if let Some(refusal) = self.unconfirmed(now, role) {
+        let uncertain = owned.uncertain_until.is_some_and(|until| now < until);
+        if let Some(refusal) = self.check_confirmation(now, role) {
             self.begin_change(now, slot);
-            return AskJudgement::Refuse(refusal);
+            return GrantDecision::Refuse(refusal);
         }
-        // A record sent to a backup that is gone would wait for ever, and its caller with it.
-        let lone = role
+        // A record sent to a dead backup would never be acknowledged, and its caller would wait
+        // until its deadline. The backup is replaced first.
+        let backup_missing = role
             .backup
             .is_some_and(|backup| self.is_missing(now, backup, Duration::ZERO));
-        if lone {
-            return AskJudgement::Refuse(self.change_owners(now, slot));
+        if backup_missing {
+            return GrantDecision::Refuse(self.change_owners(now, slot));
         }
         if copying {
-            return AskJudgement::Refuse(key::KeyRefusal::Busy);
+            return GrantDecision::Refuse(key::KeyRefusal::Busy);
         }
-        // The records of this slot were lost with both of their holders. An unknown key may have
-        // run under them: granting it would run it twice. It is granted once the longest call and
-        // the retention have passed.
-        if doubt && self.policy.guards.lost_keys_refused {
+        // The records of this slot were lost with both owners, so an unknown key may have run
+        // already, and granting it could run it twice. New keys are granted again once the
+        // retention, which exceeds the longest call, has passed.
+        if uncertain && self.policy.guards.lost_keys_refused {
             let reason = verdict::DoubtReason::RecordLost;
-            return AskJudgement::Refuse(key::KeyRefusal::MayHaveRun(reason));
+            return GrantDecision::Refuse(key::KeyRefusal::MayHaveRun(reason));
         }
         if full {
-            return AskJudgement::Refuse(key::KeyRefusal::Unavailable);
+            return GrantDecision::Refuse(key::KeyRefusal::Unavailable);
         }
-        AskJudgement::Record
+        GrantDecision::Record
     }
 
-    /// A primary that was cut off from the store for long may have been replaced by a third node,
-    /// which grants unknown keys once its doubt is over; this one stops well before.
-    fn unconfirmed(
+    /// Why a primary must not grant new keys, if the store has not confirmed its role recently.
+    ///
+    /// A primary that has not reached the store for long may have been replaced by a third node,
+    /// which grants unknown keys once its uncertainty period is over. This one stops well before.
+    fn check_confirmation(
         &self,
         now: time::NodeTime,
         role: &role::PrimaryRole,
     ) -> Option<key::KeyRefusal> {
-        match role.confirmed {
+        match role.confirmed_at {
             None => Some(key::KeyRefusal::Busy),
             Some(at) if now.since(at) > self.policy.max_unconfirmed => {
                 Some(key::KeyRefusal::Unavailable)
@@ -92,39 +95,45 @@
         }
     }
 
-    fn judge_known(
+    fn decide_known_key(
         &self,
         now: time::NodeTime,
-        question: entry::KeyQuestion,
+        request: entry::KeyRequest,
         entry: &table::KeyEntry,
         pending: &[role::PendingGrant],
-    ) -> AskJudgement {
-        if entry.fingerprint != question.print {
-            return AskJudgement::Refuse(key::KeyRefusal::Mismatch);
+    ) -> GrantDecision {
+        if entry.fingerprint != request.fingerprint {
+            return GrantDecision::Refuse(key::KeyRefusal::Mismatch);
         }
         let refusal = match &entry.state {
-            key::RecordState::Held if entry.call == question.call => {
-                let waits = pending.iter().any(|grant| grant.call == question.call);
-                return if waits {
-                    AskJudgement::Wait
+            key::RecordState::Held if entry.call == request.call => {
+                let waiting = pending.iter().any(|grant| grant.call == request.call);
+                return if waiting {
+                    GrantDecision::Wait
                 } else {
-                    AskJudgement::Grant
+                    GrantDecision::Grant
                 };
             }
-            // The holder may be running the key at this moment, or may have run it before it
-            // vanished. Another call would be the second run, whatever became of the holder.
+            // The holder may be running the key now, or may have run it before it died. A grant to
+            // another call could be the second run.
             key::RecordState::Held if !self.policy.guards.held_keys_refused => {
-                return AskJudgement::Record;
+                return GrantDecision::Record;
+            }
+            key::RecordState::Held => {
+                key::KeyRefusal::MayHaveRun(self.uncertainty_reason(now, entry))
             }
-            key::RecordState::Held => key::KeyRefusal::MayHaveRun(self.doubt_of(now, entry)),
             key::RecordState::Answered(Some(answer)) => key::KeyRefusal::Answered(answer.clone()),
             key::RecordState::Answered(None) => key::KeyRefusal::MayHaveRun(table::ANSWER_DROPPED),
             key::RecordState::Doubtful(reason) => key::KeyRefusal::MayHaveRun(*reason),
         };
-        AskJudgement::Refuse(refusal)
+        GrantDecision::Refuse(refusal)
     }
 
-    fn doubt_of(&self, now: time::NodeTime, entry: &table::KeyEntry) -> verdict::DoubtReason {
+    fn uncertainty_reason(
+        &self,
+        now: time::NodeTime,
+        entry: &table::KeyEntry,
+    ) -> verdict::DoubtReason {
         if self.is_missing(now, entry.call.node, Duration::ZERO) {
             return verdict::DoubtReason::NodeLost;
         }
@@ -134,7 +143,7 @@
         verdict::DoubtReason::InProgress
     }
 
-    /// What a node that is not the primary answers.
+    /// The refusal of a node that is not the primary.
     fn redirect(&mut self, now: time::NodeTime, slot: key::SlotId) -> key::KeyRefusal {
         let view = self.views.get(slot);
         if self.proposal(now, slot, view).is_none() {
@@ -146,33 +155,37 @@
         }
     }
 
-    /// Begins the change that a slot needs before its keys are granted; tells whether the caller
-    /// does well to wait for it.
+    /// Begins the change of owners that a slot needs before its keys can be granted; the refusal
+    /// says whether the caller should retry.
     fn change_owners(&mut self, now: time::NodeTime, slot: key::SlotId) -> key::KeyRefusal {
         if self.proposal(now, slot, self.views.get(slot)).is_some() {
             self.begin_change(now, slot);
         }
-        // The store is out, so the wait has no end that a caller could wait for.
-        if self.is_resting(slot) {
+        // With the store unavailable, the change may take longer than a caller waits.
+        if self.is_backing_off(slot) {
             key::KeyRefusal::Unavailable
         } else {
             key::KeyRefusal::Busy
         }
     }
 
-    /// Records a new key for its call, and grants it once the backup has recorded it too.
-    fn record(&mut self, now: time::NodeTime, question: entry::KeyQuestion) {
-        let slot = slots::slot_of(question.key);
+    /// Records a new key for its call; it is granted once the backup has recorded it too.
+    fn record(&mut self, now: time::NodeTime, request: entry::KeyRequest) {
+        let slot = slots::slot_of(request.key);
         let guards = self.policy.guards;
         let retry = now + self.policy.send_retry;
         let Some(owned) = self.owned_mut(slot) else {
             return;
         };
-        let entry::KeyQuestion { call, key, print } = question;
+        let entry::KeyRequest {
+            call,
+            key,
+            fingerprint,
+        } = request;
         let order = owned.next_order();
         let entry = table::KeyEntry {
             key,
-            fingerprint: print,
+            fingerprint,
             call,
             order,
             recorded_at: now,
@@ -188,16 +201,16 @@
             self.grant(call, key);
             return;
         };
-        // A primary that granted first and then vanished would leave a backup that takes the key
-        // for new and grants it again: two case numbers for one claim. With the record at the
-        // backup before the grant, whoever survives knows the holder.
+        // If a primary granted the key before the backup has the record and then died, the backup
+        // would treat the key as new and grant it again: two case numbers for one claim. With the
+        // record at the backup first, every surviving owner knows the holder.
         if guards.ack_before_grant {
-            let sent = now;
+            let sent_at = now;
             role.pending.push(role::PendingGrant {
                 order,
                 key,
                 call,
-                sent,
+                sent_at,
             });
         }
         let message = key::KeyMessage::Record {
@@ -212,19 +225,19 @@
         }
     }
 
-    pub(crate) fn take_ack(
+    pub(crate) fn handle_ack(
         &mut self,
         now: time::NodeTime,
-        at: (key::SlotId, key::SlotEpoch),
+        slot_epoch: (key::SlotId, key::SlotEpoch),
         order: u64,
     ) {
-        let (slot, epoch) = at;
+        let (slot, epoch) = slot_epoch;
         let checked = self.policy.guards.epoch_check;
         let Some(owned) = self.owned_mut(slot) else {
             return;
         };
-        // A backup of an earlier epoch holds a record that the present one may not have; its
-        // acknowledgement proves nothing about who would take over now.
+        // The acknowledgement of a backup of an earlier epoch does not prove that the current
+        // backup, which would take over now, has the record.
         if checked && owned.epoch != epoch {
             self.counters.stale_epoch += 1;
             return;
@@ -232,13 +245,13 @@
         let Some(role) = owned.primary_mut() else {
             return;
         };
-        let Ok(place) = role
+        let Ok(position) = role
             .pending
             .binary_search_by_key(&order, |grant| grant.order)
         else {
             return;
         };
-        let grant = role.pending.remove(place);
+        let grant = role.pending.remove(position);
         self.grant(grant.call, grant.key);
         self.wake_at(now + self.policy.send_retry);
     }
@@ -264,10 +277,10 @@
         self.send(call.node, key::KeyMessage::Refuse { call, refusal });
     }
 
-    /// Repeats what a backup has not acknowledged.
-    pub(crate) fn repeat_records(&mut self, now: time::NodeTime, place: usize) {
+    /// Resends the records that the backup has not acknowledged in time.
+    pub(crate) fn resend_records(&mut self, now: time::NodeTime, position: usize) {
         let retry = self.policy.send_retry;
-        let owned = &mut self.slots[place];
+        let owned = &mut self.slots[position];
         let (slot, epoch) = (owned.slot, owned.epoch);
         let role::SlotRole::Primary(role) = &mut owned.role else {
             return;
@@ -277,12 +290,12 @@
         };
         let mut due = Vec::new();
         for grant in &mut role.pending {
-            if now.since(grant.sent) >= retry {
-                grant.sent = now;
+            if now.since(grant.sent_at) >= retry {
+                grant.sent_at = now;
                 due.push(grant.key);
             }
         }
-        let waits = !role.pending.is_empty();
+        let waiting = !role.pending.is_empty();
         let table = &owned.table;
         let entries = due.into_iter().filter_map(|key| table.get(key));
         let records: Vec<_> = entries.map(|entry| entry.to_record(now)).collect();
@@ -294,7 +307,7 @@
             };
             self.send(backup, message);
         }
-        if waits {
+        if waiting {
             self.wake_at(now + retry);
         }
     }
--- a/crates/anvil_once/src/handover.rs
+++ b/crates/anvil_once/src/handover.rs
@@ -1,4 +1,4 @@
-//! Copies of a slot's records to a new backup, and the planned stop.
+//! Copying a slot's records to a new backup, and the planned stop of a node.
 
 use std::time::Duration;
 
@@ -8,19 +8,19 @@
 use crate::{owner, role};
 
 impl owner::KeyOwner {
-    /// Starts a planned stop: primaries hand over to their backups, backups are replaced.
+    /// Starts a planned stop: primaries hand over to their backups, and backups are replaced.
     ///
-    /// A primary leaves only once its backup holds everything, so that a stop costs no record.
+    /// A primary hands over only once its backup holds all records, so that a stop loses none.
     pub(crate) fn leave(&mut self, now: time::NodeTime) {
         self.leaving = true;
         self.check_slots(now);
     }
 
-    /// Sends all records of a slot to its new backup; nothing new is granted meanwhile.
+    /// Starts to send all records of a slot to its new backup; no new key is granted meanwhile.
     pub(crate) fn start_copy(&mut self, now: time::NodeTime, slot: key::SlotId) {
         let backup = self.owned(slot).and_then(|owned| owned.primary()?.backup);
         match backup {
-            Some(_) => self.send_part(now, slot, 0, None),
+            Some(_) => self.begin_part(now, slot, 0, None),
             None => self.grant_pending(slot),
         }
     }
@@ -28,10 +28,10 @@
     pub(crate) fn continue_copy(
         &mut self,
         now: time::NodeTime,
-        at: (key::SlotId, key::SlotEpoch),
+        slot_epoch: (key::SlotId, key::SlotEpoch),
         part: u32,
     ) {
-        let (slot, epoch) = at;
+        let (slot, epoch) = slot_epoch;
         let Some(owned) = self.owned_mut(slot).filter(|owned| owned.epoch == epoch) else {
             return;
         };
@@ -42,41 +42,41 @@
             return;
         };
         if !copy.last {
-            self.send_part(now, slot, part + 1, copy.end);
+            self.begin_part(now, slot, part + 1, copy.end);
             return;
         }
         role.copy = None;
         self.grant_pending(slot);
-        // A leaving primary waited for this copy.
+        // A leaving primary hands over once this copy is complete.
         self.check_slots(now);
     }
 
-    /// Repeats the part that a backup has not acknowledged.
-    pub(crate) fn repeat_part(&mut self, now: time::NodeTime, place: usize) {
+    /// Resends the part that the backup has not acknowledged in time.
+    pub(crate) fn resend_part(&mut self, now: time::NodeTime, position: usize) {
         let retry = self.policy.send_retry;
-        let slot = self.slots[place].slot;
-        let Some(role) = self.slots[place].primary_mut() else {
+        let slot = self.slots[position].slot;
+        let Some(role) = self.slots[position].primary_mut() else {
             return;
         };
         let Some(copy) = &mut role.copy else { return };
-        if now.since(copy.sent) >= retry {
-            copy.sent = now;
+        if now.since(copy.sent_at) >= retry {
+            copy.sent_at = now;
             let part = *copy;
-            self.transmit(now, slot, part);
+            self.send_part(now, slot, part);
         }
         self.wake_at(now + retry);
     }
 
     pub(crate) fn tick_slots(&mut self, now: time::NodeTime) {
-        for place in 0..self.slots.len() {
-            let table = &mut self.slots[place].table;
+        for position in 0..self.slots.len() {
+            let table = &mut self.slots[position].table;
             self.counters.expired += table.expire(now, self.policy.retention);
-            self.repeat_records(now, place);
-            self.repeat_part(now, place);
+            self.resend_records(now, position);
+            self.resend_part(now, position);
         }
     }
 
-    fn send_part(
+    fn begin_part(
         &mut self,
         now: time::NodeTime,
         slot: key::SlotId,
@@ -88,22 +88,22 @@
         let Some(owned) = self.owned_mut(slot) else {
             return;
         };
-        let keys = owned.table.part(after, limit);
+        let entries = owned.table.part(after, limit);
         let copy = role::CopyPart {
             part,
             after,
-            end: keys.last().map(|entry| entry.key),
-            last: keys.len() < limit,
-            sent: now,
+            end: entries.last().map(|entry| entry.key),
+            last: entries.len() < limit,
+            sent_at: now,
         };
         if let Some(role) = owned.primary_mut() {
             role.copy = Some(copy);
         }
-        self.transmit(now, slot, copy);
+        self.send_part(now, slot, copy);
         self.wake_at(retry);
     }
 
-    fn transmit(&mut self, now: time::NodeTime, slot: key::SlotId, copy: role::CopyPart) {
+    fn send_part(&mut self, now: time::NodeTime, slot: key::SlotId, copy: role::CopyPart) {
         let Some(view) = self.views.get(slot) else {
             return;
         };
@@ -113,24 +113,27 @@
         let Some(backup) = owned.primary().and_then(|role| role.backup) else {
             return;
         };
-        // A backup without the earlier records would take their keys for new once it takes over,
-        // and grant them again. It counts as whole only with the last part.
+        // A backup without the earlier records would treat their keys as new after a takeover and
+        // grant them again. It counts as complete only once it has the last part.
         let guarded = self.policy.guards.copy_records;
         let entries = owned.table.part(copy.after, self.policy.copy_part_records);
         let within = |key: ident::RequestKey| guarded && copy.end.is_some_and(|end| key <= end);
         let entries = entries.into_iter().filter(|entry| within(entry.key));
-        let doubt = owned.doubt.map_or(Duration::ZERO, |until| until.since(now));
+        let uncertainty = owned
+            .uncertain_until
+            .map_or(Duration::ZERO, |until| until.since(now));
         let message = key::KeyMessage::Copy {
             view,
             part: copy.part,
             last: copy.last,
             records: entries.map(|entry| entry.to_record(now)).collect(),
-            doubt_micros: u64::try_from(doubt.as_micros()).unwrap_or(u64::MAX),
+            doubt_micros: u64::try_from(uncertainty.as_micros()).unwrap_or(u64::MAX),
         };
         self.send(backup, message);
     }
 
-    /// Grants what waited for an acknowledgement: a whole copy acknowledges it all.
+    /// Grants all keys that wait for an acknowledgement: the backup has received their records with
+    /// the completed copy, or there is no backup.
     fn grant_pending(&mut self, slot: key::SlotId) {
         let Some(owned) = self.owned_mut(slot) else {
             return;
--- a/crates/anvil_once/src/lib.rs
+++ b/crates/anvil_once/src/lib.rs
@@ -1,12 +1,12 @@
-//! At most once for non-idempotent requests: key owners, records and handover.
+//! At-most-once execution of non-idempotent requests: key owners, records and handover.
 //!
-//! A caller names a non-idempotent action by an idempotency key. Each key belongs to a slot, and
-//! each slot to a pair of nodes named by a record in the platform's store. The primary grants a
-//! key to one call of one entry node, after the backup has recorded it; that call alone may ever
-//! run the key. See `docs/design/at-most-once.md`.
+//! A caller identifies a non-idempotent action by an idempotency key. Each key is hashed to a slot,
+//! and each slot is owned by a pair of nodes that a record in the platform's store names. The
+//! primary grants a key to one call of one entry node, after the backup has recorded the grant; no
+//! other call may ever run the key. See `docs/design/at-most-once.md`.
 //!
-//! Nothing in here reads a clock, opens a socket or takes a lock: [`owner::KeyOwner`] turns
-//! [`event::KeyEvent`]s into [`effect::KeyEffect`]s.
+//! This crate performs no I/O, reads no clock and takes no lock: [`owner::KeyOwner`] is a state
+//! machine that turns [`event::KeyEvent`]s into [`effect::KeyEffect`]s.
 
 mod adopt;
 mod backup;
--- a/crates/anvil_once/src/owner.rs
+++ b/crates/anvil_once/src/owner.rs
@@ -1,4 +1,4 @@
-//! The state machine of a node's part in at-most-once.
+//! The state machine that runs at-most-once execution on a node.
 
 use std::collections::VecDeque;
 use std::hash;
@@ -10,12 +10,13 @@
 
 use crate::{change, counters, effect, entry, event, peers, policy, role, view};
 
-/// Time between two looks at retention, confirmations and owners.
-const IDLE_WAKE: Duration = Duration::from_secs(1);
+/// Longest interval between two ticks, which check retention, confirmations and owners.
+const TICK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// When the next look at time is due.
+/// When the next tick is due.
 ///
-/// An early or late look decides nothing, so states that differ only in it are the same state.
+/// It hashes to nothing: an early or late tick changes no decision, so the exhaustive tests treat
+/// states that differ only in it as equal.
 #[derive(Clone, Copy, Debug)]
 struct WakeTime(time::NodeTime);
 
@@ -27,27 +28,27 @@
     }
 }
 
-/// A node's part in at-most-once: it asks for its own calls and owns slots for all.
+/// The at-most-once state of a node: the keys its own calls request and the slots it owns.
 #[derive(Clone, Debug, Hash)]
 pub struct KeyOwner {
     pub(crate) own: ident::NodeId,
     pub(crate) zone: name::ZoneName,
     pub(crate) policy: policy::KeyPolicy,
-    pub(crate) started: time::NodeTime,
+    pub(crate) started_at: time::NodeTime,
     pub(crate) peers: peers::PeerTable,
     pub(crate) views: view::ViewTable,
     /// Sorted by call.
-    pub(crate) asks: Vec<entry::KeyAsk>,
+    pub(crate) requests: Vec<entry::RequestEntry>,
     /// Sorted by slot.
     pub(crate) slots: Vec<role::OwnedSlot>,
     /// Sorted by slot.
     pub(crate) changes: Vec<change::SlotChange>,
-    pub(crate) last_ask: u64,
-    pub(crate) pace: change::StorePace,
-    /// Whether the store left the last question without an answer.
-    pub(crate) store_out: bool,
-    /// The slot looked at next for an owner.
-    pub(crate) claim_next: u16,
+    pub(crate) last_request_id: u64,
+    pub(crate) store_budget: change::StoreBudget,
+    /// Whether the store left the last request unanswered.
+    pub(crate) store_unavailable: bool,
+    /// The slot that the next scan for unowned slots starts at.
+    pub(crate) next_claim_slot: u16,
     pub(crate) leaving: bool,
     pub(crate) counters: counters::KeyCounters,
     wake: WakeTime,
@@ -56,7 +57,7 @@
 }
 
 impl KeyOwner {
-    /// A node that owns nothing and knows nobody.
+    /// Creates a node that owns no slot and knows no peer.
     pub fn new(
         now: time::NodeTime,
         own: ident::NodeId,
@@ -67,46 +68,54 @@
             own,
             zone,
             policy,
-            started: now,
+            started_at: now,
             peers: peers::PeerTable::default(),
             views: view::ViewTable::default(),
-            asks: Vec::new(),
+            requests: Vec::new(),
             slots: Vec::new(),
             changes: Vec::new(),
-            last_ask: 0,
-            pace: change::StorePace::new(now, policy.store_request_burst),
-            store_out: false,
-            claim_next: 0,
+            last_request_id: 0,
+            store_budget: change::StoreBudget::new(now, policy.store_request_burst),
+            store_unavailable: false,
+            next_claim_slot: 0,
             leaving: false,
             counters: counters::KeyCounters::default(),
-            wake: WakeTime(now + IDLE_WAKE),
+            wake: WakeTime(now + TICK_INTERVAL),
             local: VecDeque::new(),
             effects: Vec::new(),
         }
     }
 
-    /// Starts with other times and bounds.
+    /// Replaces the policy and restarts the waits that count from the node's start.
     pub fn set_policy(&mut self, now: time::NodeTime, policy: policy::KeyPolicy) {
-        self.started = now;
+        self.started_at = now;
         self.policy = policy;
-        self.pace = change::StorePace::new(now, policy.store_request_burst);
+        self.store_budget = change::StoreBudget::new(now, policy.store_request_burst);
     }
 
-    /// Takes in one event and returns what is to be done, in order.
+    /// Handles one event and returns the effects to carry out, in order.
     pub fn step(&mut self, now: time::NodeTime, event: event::KeyEvent) -> Vec<effect::KeyEffect> {
         match event {
             event::KeyEvent::Request {
                 call,
                 key,
-                fingerprint: print,
+                fingerprint,
                 wait,
-            } => self.ask(now, entry::KeyQuestion { call, key, print }, wait),
+            } => self.request_key(
+                now,
+                entry::KeyRequest {
+                    call,
+                    key,
+                    fingerprint,
+                },
+                wait,
+            ),
             event::KeyEvent::Abandon { call } => self.abandon(now, call),
-            event::KeyEvent::Ended { call, outcome: end } => self.end(now, call, end),
+            event::KeyEvent::Ended { call, outcome } => self.finish(now, call, outcome),
             event::KeyEvent::Message { from, message } => self.receive(now, from, message),
-            event::KeyEvent::Unreachable { node } => self.lose_messages(now, node),
+            event::KeyEvent::Unreachable { node } => self.handle_unreachable(now, node),
             event::KeyEvent::Peer(peer) => self.update_peer(now, peer),
-            event::KeyEvent::StoreReplied { id, reply } => self.take_reply(now, id, reply),
+            event::KeyEvent::StoreReplied { id, reply } => self.handle_store_reply(now, id, reply),
             event::KeyEvent::Tick => self.tick(now),
             event::KeyEvent::Leave => self.leave(now),
         }
@@ -116,30 +125,31 @@
         mem::take(&mut self.effects)
     }
 
-    /// When [`event::KeyEvent::Tick`] is next of use; none where nothing is owned or asked.
+    /// When [`event::KeyEvent::Tick`] is next due; `None` if there is nothing to check.
     pub fn next_wake(&self) -> Option<time::NodeTime> {
-        let idle = self.asks.is_empty() && self.slots.is_empty() && self.changes.is_empty();
+        let idle = self.requests.is_empty() && self.slots.is_empty() && self.changes.is_empty();
         let idle = idle && self.policy.claim_scan_slots == 0;
         (!idle).then_some(self.wake.0)
     }
 
-    /// What was counted since the start.
+    /// Counters since the start of the process.
     pub const fn counters(&self) -> &counters::KeyCounters {
         &self.counters
     }
 
-    /// Whether a leaving node has handed over its slots and delivered its outcomes, or knows
-    /// nobody who could take them.
+    /// Whether a leaving node has handed over its slots and delivered its outcomes, or has no live
+    /// peer that could take them.
     pub fn is_released(&self) -> bool {
-        let waits = self.asks.iter().any(|ask| ask.holds_node());
-        self.leaving && ((self.slots.is_empty() && !waits) || self.is_alone())
+        let delayed = self.requests.iter().any(|entry| entry.delays_stop());
+        self.leaving && ((self.slots.is_empty() && !delayed) || self.is_alone())
     }
 
-    /// How long after its start a node takes an owner of whom it never heard for gone.
+    /// How long after its start a node treats an owner that membership never reported as missing.
     ///
-    /// A node that started late never hears of one that vanished before. But a node that hears
-    /// nobody is itself the one cut off: it would take every slot from owners that are well.
-    fn unknown_wait(&self) -> Duration {
+    /// Membership never reports a node that died before this one started. A node without any live
+    /// peer is probably partitioned itself and would take every slot from healthy owners, so it
+    /// waits for much longer.
+    fn unknown_owner_timeout(&self) -> Duration {
         if self.is_alone() {
             self.policy.max_unconfirmed
         } else {
@@ -154,22 +164,34 @@
 
     fn receive(&mut self, now: time::NodeTime, from: ident::NodeId, message: key::KeyMessage) {
         match message {
-            key::KeyMessage::Ask { call, key, print } => {
-                self.answer_ask(now, from, entry::KeyQuestion { call, key, print });
+            key::KeyMessage::Ask {
+                call,
+                key,
+                print: fingerprint,
+            } => {
+                self.handle_request(
+                    now,
+                    from,
+                    entry::KeyRequest {
+                        call,
+                        key,
+                        fingerprint,
+                    },
+                );
             }
-            key::KeyMessage::Grant { call, key } => self.take_grant(now, from, call, key),
-            key::KeyMessage::Refuse { call, refusal } => self.take_refusal(now, call, refusal),
+            key::KeyMessage::Grant { call, key } => self.handle_grant(now, from, call, key),
+            key::KeyMessage::Refuse { call, refusal } => self.handle_refusal(now, call, refusal),
             key::KeyMessage::Settle { call, key, outcome } => {
                 self.settle(now, from, (call, key), &outcome);
             }
-            key::KeyMessage::Settled { call } => self.forget_outcome(call),
+            key::KeyMessage::Settled { call } => self.handle_settled(call),
             key::KeyMessage::Record {
                 slot,
                 epoch,
                 record,
-            } => self.keep_record(now, from, (slot, epoch), record),
+            } => self.handle_record(now, from, (slot, epoch), record),
             key::KeyMessage::Recorded { slot, epoch, order } => {
-                self.take_ack(now, (slot, epoch), order);
+                self.handle_ack(now, (slot, epoch), order);
             }
             key::KeyMessage::Erase {
                 slot,
@@ -185,28 +207,28 @@
                 doubt_micros,
             } => {
                 self.learn(now, view, None);
-                let doubt = Duration::from_micros(doubt_micros);
-                self.keep_part(now, from, &view, (part, last), records);
-                self.keep_doubt(now, &view, doubt);
+                let uncertainty = Duration::from_micros(doubt_micros);
+                self.handle_copy_part(now, from, &view, (part, last), records);
+                self.set_uncertainty(now, &view, uncertainty);
             }
             key::KeyMessage::Copied { slot, epoch, part } => {
                 self.continue_copy(now, (slot, epoch), part);
             }
             key::KeyMessage::View(view) => {
-                let confirmed = self.told_by_proposer(now, from, &view);
-                let news = self.learn(now, view, confirmed);
-                self.resend_outcomes(now, view.slot, news);
+                let confirmed_at = self.confirmed_by_proposer(now, from, &view);
+                let is_newer = self.learn(now, view, confirmed_at);
+                self.resend_outcomes(now, view.slot, is_newer);
             }
         }
     }
 
     fn tick(&mut self, now: time::NodeTime) {
-        self.wake = WakeTime(now + IDLE_WAKE);
-        self.tick_asks(now);
+        self.wake = WakeTime(now + TICK_INTERVAL);
+        self.tick_requests(now);
         self.tick_slots(now);
         self.tick_changes(now);
-        self.claim_ahead(now);
-        self.peers.forget(now, self.policy.retention);
+        self.claim_unowned_slots(now);
+        self.peers.remove_missing(now, self.policy.retention);
     }
 
     fn update_peer(&mut self, now: time::NodeTime, peer: peers::KeyPeer) {
@@ -215,7 +237,7 @@
         }
     }
 
-    /// Sends a message; one to this node itself is taken in before the step ends.
+    /// Sends a message. One to this node itself is handled before the step ends.
     pub(crate) fn send(&mut self, to: ident::NodeId, message: key::KeyMessage) {
         if to == self.own {
             self.local.push_back(message);
@@ -233,20 +255,20 @@
     }
 
     pub(crate) fn owned(&self, slot: key::SlotId) -> Option<&role::OwnedSlot> {
-        let at = self.place(slot).ok()?;
+        let at = self.slot_position(slot).ok()?;
         Some(&self.slots[at])
     }
 
     pub(crate) fn owned_mut(&mut self, slot: key::SlotId) -> Option<&mut role::OwnedSlot> {
-        let at = self.place(slot).ok()?;
+        let at = self.slot_position(slot).ok()?;
         Some(&mut self.slots[at])
     }
 
-    pub(crate) fn place(&self, slot: key::SlotId) -> Result<usize, usize> {
+    pub(crate) fn slot_position(&self, slot: key::SlotId) -> Result<usize, usize> {
         self.slots.binary_search_by_key(&slot, |owned| owned.slot)
     }
 
-    /// Whether `node` has been missing for at least `span`.
+    /// Whether `node` has been missing for at least `span`; this node itself never is.
     pub(crate) fn is_missing(
         &self,
         now: time::NodeTime,
@@ -261,7 +283,7 @@
                 now.since(peer.since) >= span
             }
             Some(_) => false,
-            None => now.since(self.started) >= self.unknown_wait(),
+            None => now.since(self.started_at) >= self.unknown_owner_timeout(),
         }
     }
 }
--- a/crates/anvil_once/src/peers.rs
+++ b/crates/anvil_once/src/peers.rs
@@ -1,4 +1,4 @@
-//! The nodes that can own keys, as membership reports them.
+//! The nodes that can own slots, as membership reports them.
 
 use anvil_types::{ident, name, time};
 use anvil_wire::key;
@@ -6,15 +6,15 @@
 
 use crate::slots;
 
-/// What membership says about a node.
+/// What membership reports about a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum PeerHealth {
-    /// It answers.
+    /// It is alive.
     Alive,
-    /// It is stopping and hands over.
+    /// It is stopping and hands over its slots.
     Leaving,
-    /// It is suspected or confirmed dead, or left; it may still run, unaware.
+    /// It is suspected, confirmed dead or has left. It may still be running without knowing this.
     Missing,
 }
 
@@ -25,9 +25,9 @@
     pub node: ident::NodeId,
     /// Its availability zone.
     pub zone: name::ZoneName,
-    /// What membership says.
+    /// What membership reports.
     pub health: PeerHealth,
-    /// Since when.
+    /// When this was first reported.
     pub since: time::NodeTime,
 }
 
@@ -38,9 +38,9 @@
 }
 
 impl PeerTable {
-    /// Takes in what membership says; returns whether anything changed.
+    /// Applies a report of membership; returns whether the health of the node changed.
     pub fn update(&mut self, peer: KeyPeer) -> bool {
-        match self.place(peer.node) {
+        match self.position(peer.node) {
             Ok(at) if self.peers[at].health == peer.health => false,
             Ok(at) => {
                 self.peers[at] = peer;
@@ -53,16 +53,18 @@
         }
     }
 
-    /// Forgets the nodes that have been missing for `span`; owners among them stay missing.
-    pub fn forget(&mut self, now: time::NodeTime, span: std::time::Duration) {
-        let keep =
+    /// Removes the nodes that have been missing for `span`.
+    ///
+    /// An owner among them still counts as missing, since an unknown owner does too.
+    pub fn remove_missing(&mut self, now: time::NodeTime, span: std::time::Duration) {
+        let retained =
             |peer: &KeyPeer| peer.health != PeerHealth::Missing || now.since(peer.since) < span;
-        self.peers.retain(keep);
+        self.peers.retain(retained);
     }
 
-    /// What is known about `node`.
+    /// The last report about `node`.
     pub fn get(&self, node: ident::NodeId) -> Option<&KeyPeer> {
-        self.place(node).ok().map(|at| &self.peers[at])
+        self.position(node).ok().map(|at| &self.peers[at])
     }
 
     /// The nodes, sorted by identity.
@@ -70,24 +72,24 @@
         &self.peers
     }
 
-    /// The live node preferred for `slot`, other than the `taken` ones.
+    /// The preferred live node for `slot`, except those in `excluded`.
     ///
-    /// A node of another zone than `zone` goes before one of the same zone, so that the loss of a
-    /// zone never takes both owners while there is a choice.
+    /// Nodes outside `zone` are preferred, so that the loss of an availability zone never takes
+    /// both owners if that can be avoided.
     pub fn choose(
         &self,
         slot: key::SlotId,
         zone: &name::ZoneName,
-        taken: &[ident::NodeId],
+        excluded: &[ident::NodeId],
     ) -> Option<ident::NodeId> {
         let usable =
-            |peer: &&KeyPeer| peer.health == PeerHealth::Alive && !taken.contains(&peer.node);
+            |peer: &&KeyPeer| peer.health == PeerHealth::Alive && !excluded.contains(&peer.node);
         let rank = |peer: &&KeyPeer| (peer.zone != *zone, slots::node_weight(slot, peer.node));
         let best = self.peers.iter().filter(usable).max_by_key(rank);
         best.map(|peer| peer.node)
     }
 
-    fn place(&self, node: ident::NodeId) -> Result<usize, usize> {
+    fn position(&self, node: ident::NodeId) -> Result<usize, usize> {
         self.peers.binary_search_by_key(&node, |peer| peer.node)
     }
 }
--- a/crates/anvil_once/src/policy.rs
+++ b/crates/anvil_once/src/policy.rs
@@ -1,52 +1,54 @@
-//! Times, bounds and safeguards of the key owners.
+//! Timeouts, limits and safeguards of the key owners.
 
 use std::time::Duration;
 
-/// Times, bounds and safeguards of the key owners.
+/// Timeouts, limits and safeguards of the key owners.
 ///
-/// The default is the one in force; others exist for tests. `docs/design/at-most-once.md` shows
-/// the figures behind each value.
+/// Production uses the default; tests use other values. `docs/design/at-most-once.md` gives the
+/// reason for each value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct KeyPolicy {
-    /// How long a key is remembered.
+    /// How long the record of a key is retained.
     pub retention: Duration,
-    /// Longest time from a caller's question to the use of a grant; also the longest deadline.
+    /// Longest time from a caller's request to the use of a grant; also the longest deadline.
     pub max_call_duration: Duration,
-    /// How long a primary grants without having read its own record in the store.
+    /// How long a primary grants new keys without having read its own record in the store.
     pub max_unconfirmed: Duration,
     /// How often a primary reads its own record in the store.
     pub confirm_interval: Duration,
-    /// Pause before a question is repeated.
+    /// Delay before a request for a key is repeated after a reply that did not decide it.
     pub request_retry: Duration,
-    /// Pause before an unacknowledged record, copy or outcome is repeated.
+    /// Delay before an unanswered request, record, copy or outcome is repeated.
     pub send_retry: Duration,
-    /// Pause before the store is asked again about a slot.
+    /// Delay before the next request about a slot after the store failed to reply.
     pub store_retry: Duration,
-    /// Time in which a node earns one more question to the store; zero for no bound.
+    /// Interval at which a node may send one more request to the store; zero for no limit.
     pub store_request_interval: Duration,
-    /// Questions to the store that may follow one another at once.
+    /// Requests to the store that may be sent without that interval between them.
     pub store_request_burst: u32,
-    /// How long an answer of the store is waited for.
+    /// How long to wait for a reply of the store.
     pub store_timeout: Duration,
-    /// How long both owners of a slot are missing before a third node takes it without records.
+    /// How long both owners of a slot are missing before a third node takes it over without its
+    /// records.
     pub orphan_timeout: Duration,
-    /// How long an entry node remembers a question that it gave up.
+    /// How long an entry node retains an abandoned request, to return a late grant.
     pub abandoned_retention: Duration,
-    /// Slots looked at in each tick for one that nobody owns yet; zero claims on demand only.
+    /// Slots scanned in each tick for unowned ones to claim; zero claims slots on demand only.
     pub claim_scan_slots: u16,
-    /// How long a node waits for membership to settle before it claims ahead.
+    /// How long after its start a node begins to claim unowned slots, so that membership can
+    /// settle.
     pub claim_delay: Duration,
-    /// Questions and outcomes that an entry node holds at once.
+    /// Requests and outcomes that an entry node tracks at once.
     pub max_requests: usize,
     /// Records that a node holds in one slot.
     pub max_records: usize,
-    /// Bytes of answers that a node keeps in one slot.
+    /// Bytes of answers that a node caches in one slot.
     pub max_answer_bytes: usize,
-    /// Largest answer kept, in bytes of its body.
+    /// Largest answer that is cached, in bytes of its headers and body.
     pub max_cached_answer_bytes: usize,
     /// Records in one part of a copy.
     pub copy_part_records: usize,
-    /// Safeguards; all on but in the experiments that show what each is for.
+    /// Safeguards; all on, except in tests that show which failure each one prevents.
     pub guards: KeyGuards,
 }
 
@@ -55,17 +57,17 @@
 pub struct KeyGuards {
     /// A key is granted only after the backup has recorded it.
     pub ack_before_grant: bool,
-    /// Records and their acknowledgements count only in the receiver's own epoch.
+    /// Records and their acknowledgements are accepted only in the receiver's own epoch.
     pub epoch_check: bool,
-    /// A new backup gets the earlier records before anything new is granted.
+    /// A new backup receives the existing records before a new key is granted.
     pub copy_records: bool,
     /// A key that an earlier primary may have granted is granted to no other call.
     pub held_keys_refused: bool,
-    /// Where the records were lost, unknown keys are answered as may-have-run.
+    /// If the records were lost, unknown keys are answered as may-have-run.
     pub lost_keys_refused: bool,
-    /// A call runs under its first grant only, and not after it was given up.
+    /// A call runs under its first grant only, and not after it was abandoned.
     pub one_run_per_call: bool,
-    /// Only the call that holds a key can free it.
+    /// Only the call that holds a key can release it.
     pub holder_frees: bool,
 }
 
--- a/crates/anvil_once/src/proposal.rs
+++ b/crates/anvil_once/src/proposal.rs
@@ -1,4 +1,4 @@
-//! Which owners a slot should have, as far as this node knows.
+//! Which owners a slot should have, in the view of this node.
 
 use std::cmp;
 use std::time::Duration;
@@ -8,11 +8,11 @@
 
 use crate::{owner, peers, role, slots};
 
-/// Nodes asked about a slot whose owners are unknown, before its key is refused.
-pub(crate) const LIKELY_NODES: usize = 3;
+/// Nodes that are asked about a slot with unknown owners before the key is refused.
+pub(crate) const MAX_LIKELY_OWNERS: usize = 3;
 
 impl owner::KeyOwner {
-    /// The record that this node would like in place of `current`, if any.
+    /// The record that should replace `current`, if this node would change it.
     pub(crate) fn proposal(
         &self,
         now: time::NodeTime,
@@ -25,7 +25,9 @@
         let owned = self.owned(slot).filter(|owned| owned.epoch == view.epoch);
         match owned.map(|owned| &owned.role) {
             Some(role::SlotRole::Primary(role)) => self.primary_proposal(now, &view, role),
-            Some(role::SlotRole::Backup(role)) if role.whole => self.takeover_proposal(now, &view),
+            Some(role::SlotRole::Backup(role)) if role.complete => {
+                self.takeover_proposal(now, &view)
+            }
             _ => self.orphan_proposal(now, &view),
         }
     }
@@ -42,7 +44,8 @@
         (!self.leaving).then_some(view)
     }
 
-    /// A primary replaces a backup that is missing or leaves, and hands over when it leaves itself.
+    /// A primary replaces a backup that is missing or leaving, and hands over to its backup when it
+    /// leaves itself.
     fn primary_proposal(
         &self,
         now: time::NodeTime,
@@ -57,12 +60,12 @@
             Some(_) => None,
             None => {
                 let next = self.successor(view, self.own, &[]);
-                let gone = role
+                let missing = role
                     .backup
                     .is_some_and(|backup| self.is_missing(now, backup, self.policy.orphan_timeout));
-                // A primary that hears nobody may itself be the one cut off: its backup gets the
-                // time to take over before the primary goes on alone.
-                (next.backup.is_some() || gone).then_some(next)
+                // A primary without a live peer may itself be partitioned. It waits before it goes
+                // on without a backup, so that its backup has time to take over.
+                (next.backup.is_some() || missing).then_some(next)
             }
         }
     }
@@ -76,11 +79,12 @@
         missing.then(|| self.successor(view, self.own, &[view.primary]))
     }
 
-    /// Both owners are missing, or the one left has no whole copy: the records are lost.
+    /// Takes over a slot whose records are lost: both owners are missing, or the remaining one has
+    /// no complete copy.
     fn orphan_proposal(&self, now: time::NodeTime, view: &key::SlotView) -> Option<key::SlotView> {
         let wait = self.policy.orphan_timeout;
-        let gone = |node: ident::NodeId| node == self.own || self.is_missing(now, node, wait);
-        let orphaned = gone(view.primary) && view.backup.is_none_or(gone);
+        let missing = |node: ident::NodeId| node == self.own || self.is_missing(now, node, wait);
+        let orphaned = missing(view.primary) && view.backup.is_none_or(missing);
         let next = key::SlotView {
             lost: true,
             ..self.successor(view, self.own, &[view.primary])
@@ -92,33 +96,37 @@
         &self,
         view: &key::SlotView,
         primary: ident::NodeId,
-        taken: &[ident::NodeId],
+        excluded: &[ident::NodeId],
     ) -> key::SlotView {
         key::SlotView {
             slot: view.slot,
             epoch: view.epoch.next(),
             primary,
-            backup: self.choose_backup(view.slot, taken),
+            backup: self.choose_backup(view.slot, excluded),
             proposer: self.own,
             lost: false,
         }
     }
 
-    fn choose_backup(&self, slot: key::SlotId, taken: &[ident::NodeId]) -> Option<ident::NodeId> {
-        self.peers.choose(slot, &self.zone, taken)
+    fn choose_backup(
+        &self,
+        slot: key::SlotId,
+        excluded: &[ident::NodeId],
+    ) -> Option<ident::NodeId> {
+        self.peers.choose(slot, &self.zone, excluded)
     }
 
-    /// The node that would take a slot without owners, as far as this node knows.
-    pub(crate) fn preferred(&self, slot: key::SlotId) -> Option<ident::NodeId> {
+    /// The node that should claim a slot without owners, in the view of this node.
+    pub(crate) fn preferred_owner(&self, slot: key::SlotId) -> Option<ident::NodeId> {
         let weight = |node: &ident::NodeId| slots::node_weight(slot, *node);
         self.candidates().max_by_key(weight)
     }
 
     /// The nodes most likely to know a slot's owners, the preferred one first.
-    pub(crate) fn likely(&self, slot: key::SlotId) -> Vec<ident::NodeId> {
+    pub(crate) fn likely_owners(&self, slot: key::SlotId) -> Vec<ident::NodeId> {
         let mut nodes: Vec<ident::NodeId> = self.candidates().collect();
         nodes.sort_by_cached_key(|node| cmp::Reverse(slots::node_weight(slot, *node)));
-        nodes.truncate(LIKELY_NODES);
+        nodes.truncate(MAX_LIKELY_OWNERS);
         nodes
     }
 
--- a/crates/anvil_once/src/role.rs
+++ b/crates/anvil_once/src/role.rs
@@ -1,4 +1,4 @@
-//! What a node holds for a slot that it owns, as primary or as backup.
+//! The state of a slot that a node owns, as primary or as backup.
 
 use anvil_types::{ident, time};
 use anvil_wire::key;
@@ -11,32 +11,33 @@
     pub(crate) order: u64,
     pub(crate) key: ident::RequestKey,
     pub(crate) call: ident::CallId,
-    pub(crate) sent: time::NodeTime,
+    pub(crate) sent_at: time::NodeTime,
 }
 
 /// The part of a copy that waits for the backup's acknowledgement.
 ///
-/// The end of a part is fixed when it is first sent: a repeated part that ended further on could
-/// be acknowledged by a backup that has only the first one, and the rest would never arrive.
+/// The end of a part is fixed when it is first sent. Otherwise a resent part could contain more
+/// records, be acknowledged by a backup that has only received the first version, and the added
+/// records would never arrive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct CopyPart {
     pub(crate) part: u32,
     pub(crate) after: Option<ident::RequestKey>,
     pub(crate) end: Option<ident::RequestKey>,
     pub(crate) last: bool,
-    pub(crate) sent: time::NodeTime,
+    pub(crate) sent_at: time::NodeTime,
 }
 
 /// The primary's side of a slot.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct PrimaryRole {
     pub(crate) backup: Option<ident::NodeId>,
-    /// The copy under way; none once the backup holds everything.
+    /// The copy in progress; `None` once the backup holds all records.
     pub(crate) copy: Option<CopyPart>,
-    /// Sorted by order.
+    /// Sorted by sequence number.
     pub(crate) pending: Vec<PendingGrant>,
-    /// When the store was asked the question that last confirmed this role.
-    pub(crate) confirmed: Option<time::NodeTime>,
+    /// When the request was sent to the store whose reply last confirmed this role.
+    pub(crate) confirmed_at: Option<time::NodeTime>,
 }
 
 /// The backup's side of a slot.
@@ -45,40 +46,40 @@
     pub(crate) primary: ident::NodeId,
     /// The part of the copy expected next.
     pub(crate) next_part: u32,
-    /// Whether every record of the primary is held.
-    pub(crate) whole: bool,
+    /// Whether this node holds every record of the primary.
+    pub(crate) complete: bool,
 }
 
-/// One of the two sides.
+/// The role of an owner in a slot.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum SlotRole {
     Primary(PrimaryRole),
     Backup(BackupRole),
 }
 
-/// A slot that this node owns, as far as it knows.
+/// A slot that this node owns, in its own view.
 ///
-/// The epoch changes only when the node learns of a newer record. Until then a primary goes on
-/// with its backup, and a backup acknowledges, whatever either has asked of the store: a claim
-/// that fails, or a store that is out, costs nothing while both nodes live.
+/// The epoch changes only when the node learns of a newer record. Until then a primary keeps
+/// working with its backup, and a backup keeps acknowledging, whatever change either has requested
+/// from the store. So a failed swap or a store outage has no effect while both nodes are alive.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct OwnedSlot {
     pub(crate) slot: key::SlotId,
     pub(crate) epoch: key::SlotEpoch,
     pub(crate) table: table::KeyTable,
-    /// The order of the last change.
+    /// The sequence number of the last change.
     pub(crate) order: u64,
-    /// Until when unknown keys may have run under records that were lost.
-    pub(crate) doubt: Option<time::NodeTime>,
+    /// Until when unknown keys count as possibly run, because records were lost.
+    pub(crate) uncertain_until: Option<time::NodeTime>,
     pub(crate) role: SlotRole,
 }
 
 impl OwnedSlot {
-    /// Whether every record of the slot is held here.
-    pub(crate) const fn is_whole(&self) -> bool {
+    /// Whether this node holds every record of the slot.
+    pub(crate) const fn is_complete(&self) -> bool {
         match &self.role {
             SlotRole::Primary(_) => true,
-            SlotRole::Backup(role) => role.whole,
+            SlotRole::Backup(role) => role.complete,
         }
     }
 
--- a/crates/anvil_once/src/settle.rs
+++ b/crates/anvil_once/src/settle.rs
@@ -1,4 +1,4 @@
-//! The primary's side once a granted call has ended.
+//! The primary's side: recording how a granted call ended.
 
 use anvil_types::{ident, time};
 use anvil_wire::key;
@@ -6,7 +6,7 @@
 use crate::{owner, slots, table};
 
 impl owner::KeyOwner {
-    /// Keeps how a granted call ended.
+    /// Records how a granted call ended and confirms it to the entry node.
     pub(crate) fn settle(
         &mut self,
         now: time::NodeTime,
@@ -26,14 +26,14 @@
             return;
         }
         match table::state_after(outcome, self.policy.max_cached_answer_bytes) {
-            None => self.free(slot, call, key),
-            Some(state) => self.keep_state(now, slot, holder, state),
+            None => self.release_key(slot, call, key),
+            Some(state) => self.record_outcome(now, slot, holder, state),
         }
         self.send(from, key::KeyMessage::Settled { call });
     }
 
-    /// Frees a key whose call is proved not to have run and never will.
-    fn free(&mut self, slot: key::SlotId, call: ident::CallId, key: ident::RequestKey) {
+    /// Releases a key whose call provably did not run and never will.
+    fn release_key(&mut self, slot: key::SlotId, call: ident::CallId, key: ident::RequestKey) {
         let checked = self.policy.guards.holder_frees;
         let Some(owned) = self.owned_mut(slot) else {
             return;
@@ -41,8 +41,8 @@
         let Some(entry) = owned.table.get(key) else {
             return;
         };
-        // A repeated message of an earlier holder would free the key under the present one, and a
-        // third call would run it again. A call frees only its own record.
+        // A duplicated message of an earlier holder would release the key of the current one, and a
+        // third call would run it again. A call releases only its own record.
         let own = entry.call == call && entry.state == key::RecordState::Held;
         if checked && !own {
             return;
@@ -64,7 +64,7 @@
         self.send(backup, message);
     }
 
-    fn keep_state(
+    fn record_outcome(
         &mut self,
         now: time::NodeTime,
         slot: key::SlotId,
--- a/crates/anvil_once/src/table.rs
+++ b/crates/anvil_once/src/table.rs
@@ -1,7 +1,7 @@
 //! The records of one slot.
 //!
-//! Records are kept sorted by key, in buckets: one long sorted vector would move megabytes at
-//! each insertion where a slot holds the 300,000 records of the largest fleet.
+//! Records are sorted by key within buckets. A single sorted vector would move megabytes at each
+//! insertion, since a slot of the largest fleet holds 300,000 records.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 use anvil_types::{ident, time, verdict};
 use anvil_wire::{call, key};
 
-/// Bits of a key that name its bucket.
+/// Number of leading bits of a key that select its bucket.
 const BUCKET_BITS: u32 = 8;
 
 /// One recorded key.
@@ -21,16 +21,16 @@
     pub fingerprint: ident::PrintHash,
     /// The only call that may ever run the key.
     pub call: ident::CallId,
-    /// The order of the last change.
+    /// The sequence number of the last change within the slot.
     pub order: u64,
     /// When the key was recorded, on this node's clock.
     pub recorded_at: time::NodeTime,
-    /// What is known.
+    /// What is known about its execution.
     pub state: key::RecordState,
 }
 
 impl KeyEntry {
-    /// The record as it travels.
+    /// The record as it is sent to the backup.
     pub fn to_record(&self, now: time::NodeTime) -> key::KeyRecord {
         let age = now.since(self.recorded_at).as_micros();
         key::KeyRecord {
@@ -89,12 +89,12 @@
         self.count == 0
     }
 
-    /// Bytes of the answers kept.
+    /// Bytes of the cached answers.
     pub const fn answer_bytes(&self) -> usize {
         self.bytes
     }
 
-    /// The highest order of all records, or zero.
+    /// The highest sequence number of all records, or zero.
     pub fn highest_order(&self) -> u64 {
         self.iter().map(|entry| entry.order).max().unwrap_or(0)
     }
@@ -111,7 +111,7 @@
         Some(&bucket.entries[at])
     }
 
-    /// Records that follow `after` in the order of keys, at most `limit`.
+    /// Up to `limit` records that follow `after` in the order of keys.
     pub fn part(&self, after: Option<ident::RequestKey>, limit: usize) -> Vec<KeyEntry> {
         let first = after.map_or(0, |key| match self.bucket(key) {
             Ok(at) | Err(at) => at,
@@ -119,29 +119,29 @@
         let entries = self.buckets[first..]
             .iter()
             .flat_map(|bucket| bucket.entries.iter());
-        let behind = entries.filter(|entry| after.is_none_or(|key| entry.key > key));
-        behind.take(limit).cloned().collect()
+        let following = entries.filter(|entry| after.is_none_or(|key| entry.key > key));
+        following.take(limit).cloned().collect()
     }
 
-    /// Records a key, replacing what is known of it.
+    /// Inserts a record, replacing an existing one of the same key.
     pub fn put(&mut self, entry: KeyEntry) {
         self.remove(entry.key);
         self.count += 1;
         self.bytes += entry.answer_bytes();
-        let line = (entry.recorded_at, entry.key);
-        let at = self.ages.partition_point(|age| *age < line);
-        self.ages.insert(at, line);
-        let at = self.make_bucket(entry.key);
+        let age = (entry.recorded_at, entry.key);
+        let at = self.ages.partition_point(|other| *other < age);
+        self.ages.insert(at, age);
+        let at = self.bucket_or_insert(entry.key);
         let entries = &mut self.buckets[at].entries;
         let (Ok(at) | Err(at)) = find(entries, entry.key);
         entries.insert(at, entry);
     }
 
-    /// Records what another owner sent, unless something newer is known; returns whether it is
-    /// now, or was already, held at that order.
+    /// Inserts a record that another owner sent, unless a newer one is known; returns whether the
+    /// table now holds exactly that record.
     pub fn merge(&mut self, now: time::NodeTime, record: key::KeyRecord) -> bool {
-        // A repeated message would bring back an old holder, and the new holder's record would be
-        // lost at a takeover; the order tells the two apart.
+        // A delayed duplicate of an older record would restore the previous holder of a key, and
+        // the record of the new holder would be lost at a takeover. The sequence number detects it.
         match self.get(record.key) {
             Some(known) if known.order > record.order => false,
             Some(known) if known.order == record.order => true,
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Changes what is known of a key.
+    /// Changes the state of a recorded key.
     pub fn set_state(&mut self, key: ident::RequestKey, order: u64, state: key::RecordState) {
         let Ok(at) = self.bucket(key) else { return };
         let entries = &mut self.buckets[at].entries;
@@ -163,7 +163,7 @@
         self.bytes += entries[at].answer_bytes();
     }
 
-    /// Frees a key.
+    /// Removes the record of a key.
     pub fn remove(&mut self, key: ident::RequestKey) {
         let Ok(bucket) = self.bucket(key) else { return };
         let entries = &mut self.buckets[bucket].entries;
@@ -174,26 +174,26 @@
         }
         self.bytes -= entry.answer_bytes();
         self.count -= 1;
-        let line = (entry.recorded_at, key);
-        if let Ok(at) = self.ages.binary_search(&line) {
+        let age = (entry.recorded_at, key);
+        if let Ok(at) = self.ages.binary_search(&age) {
             self.ages.remove(at);
         }
     }
 
-    /// Drops the records whose retention ended; returns how many.
+    /// Removes the records whose retention ended; returns how many.
     pub fn expire(&mut self, now: time::NodeTime, retention: Duration) -> u64 {
-        let mut dropped = 0;
+        let mut removed = 0;
         while let Some((recorded, key)) = self.ages.front().copied() {
             if now.since(recorded) < retention {
                 break;
             }
             self.remove(key);
-            dropped += 1;
+            removed += 1;
         }
-        dropped
+        removed
     }
 
-    /// Drops the oldest kept answers until at most `limit` bytes are kept.
+    /// Drops the oldest cached answers until at most `limit` bytes remain.
     pub fn trim_answers(&mut self, limit: usize) {
         let mut at = 0;
         while self.bytes > limit && at < self.ages.len() {
@@ -212,7 +212,7 @@
             .binary_search_by_key(&prefix, |bucket| bucket.prefix)
     }
 
-    fn make_bucket(&mut self, key: ident::RequestKey) -> usize {
+    fn bucket_or_insert(&mut self, key: ident::RequestKey) -> usize {
         match self.bucket(key) {
             Ok(at) => at,
             Err(at) => {
@@ -227,21 +227,21 @@
     }
 }
 
-/// The state that an outcome leaves behind; none where the key is free again.
+/// The state of a key after an outcome; `None` if the key is released.
 pub fn state_after(outcome: &key::KeyOutcome, answer_limit: usize) -> Option<key::RecordState> {
     match outcome {
         key::KeyOutcome::NotRun => None,
         key::KeyOutcome::MayHaveRun(reason) => Some(key::RecordState::Doubtful(*reason)),
         key::KeyOutcome::Answered(answer) => {
-            let kept = answer
+            let cached = answer
                 .as_deref()
                 .filter(|answer| answer_size(answer) <= answer_limit);
-            Some(key::RecordState::Answered(kept.cloned().map(Box::new)))
+            Some(key::RecordState::Answered(cached.cloned().map(Box::new)))
         }
     }
 }
 
-/// What a duplicate of a recorded request is told where the holder's answer is not kept.
+/// The reason given to a duplicate of an answered request whose answer is no longer cached.
 pub const ANSWER_DROPPED: verdict::DoubtReason = verdict::DoubtReason::RecordLost;
 
 fn answer_size(answer: &call::CallAnswer) -> usize {
--- a/crates/anvil_once/src/view.rs
+++ b/crates/anvil_once/src/view.rs
@@ -1,17 +1,17 @@
-//! The slot views that a node has heard of; any of them may be stale.
+//! The slot records that a node has learnt of; any of them may be stale.
 
 use anvil_wire::key;
 
-/// The newest view heard of for each slot, sorted by slot.
+/// The newest known view of each slot, sorted by slot.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct ViewTable {
     views: Vec<key::SlotView>,
 }
 
 impl ViewTable {
-    /// Keeps `view` where it is newer than the one known; returns whether it was.
+    /// Stores `view` if it is newer than the known one; returns whether it was.
     pub fn learn(&mut self, view: key::SlotView) -> bool {
-        match self.place(view.slot) {
+        match self.position(view.slot) {
             Ok(at) if self.views[at].epoch >= view.epoch => false,
             Ok(at) => {
                 self.views[at] = view;
@@ -24,9 +24,9 @@
         }
     }
 
-    /// The newest view of `slot` heard of.
+    /// The newest known view of `slot`.
     pub fn get(&self, slot: key::SlotId) -> Option<key::SlotView> {
-        self.place(slot).ok().map(|at| self.views[at])
+        self.position(slot).ok().map(|at| self.views[at])
     }
 
     /// All views, sorted by slot.
@@ -34,7 +34,7 @@
         &self.views
     }
 
-    fn place(&self, slot: key::SlotId) -> Result<usize, usize> {
+    fn position(&self, slot: key::SlotId) -> Result<usize, usize> {
         self.views.binary_search_by_key(&slot, |view| view.slot)
     }
 }
--- a/crates/anvil_once/tests/pair.rs
+++ b/crates/anvil_once/tests/pair.rs
@@ -1,4 +1,4 @@
-//! A primary, its backup and an entry node in injected time.
+//! Tests of a primary, its backup and an entry node with simulated time.
 
 #![allow(clippy::unwrap_used)]
 
@@ -10,10 +10,10 @@
 
 const PRIMARY: ident::NodeId = ident::NodeId(1);
 const BACKUP: ident::NodeId = ident::NodeId(2);
-/// Asks for the calls of its callers, and has just started: the other two have not heard of it.
+/// An entry node that has just started: membership has not reported it to the other two yet.
 const ENTRY: ident::NodeId = ident::NodeId(3);
 
-/// Three nodes and a store, whose messages arrive at once and in order.
+/// Three nodes and a store; messages are delivered immediately and in order.
 struct Pair {
     now: time::NodeTime,
     nodes: Vec<(ident::NodeId, owner::KeyOwner)>,
@@ -21,10 +21,11 @@
     store_down: bool,
     calls: u64,
     dispatched: Vec<ident::CallId>,
-    /// Whether what the entry node hears and says is lost.
-    deaf: bool,
-    mute: bool,
-    told: Vec<effect::KeyVerdict>,
+    /// Whether messages to the entry node are lost.
+    drop_to_entry: bool,
+    /// Whether messages from the entry node are lost.
+    drop_from_entry: bool,
+    verdicts: Vec<effect::KeyVerdict>,
 }
 
 impl Pair {
@@ -44,9 +45,9 @@
             store_down: false,
             calls: 0,
             dispatched: Vec::new(),
-            deaf: false,
-            mute: false,
-            told: Vec::new(),
+            drop_to_entry: false,
+            drop_from_entry: false,
+            verdicts: Vec::new(),
         };
         let known = [
             (PRIMARY, BACKUP),
@@ -60,30 +61,30 @@
         pair
     }
 
-    /// Asks at `node` until the call runs or is told a verdict; an answer ends each run.
+    /// Submits a call at `node` and waits until it runs or has a verdict; each run is answered.
     fn submit(&mut self, node: ident::NodeId, key: u128, print: u64) -> Option<effect::KeyVerdict> {
         self.calls += 1;
         let call = ident::CallId {
             node,
             sequence: self.calls,
         };
-        let told = self.told.len();
-        let ask = event::KeyEvent::Request {
+        let next_verdict = self.verdicts.len();
+        let request = event::KeyEvent::Request {
             call,
             key: ident::RequestKey(key),
             fingerprint: ident::PrintHash(print),
             wait: Duration::from_secs(2),
         };
-        self.step(node, ask);
-        self.pass(Duration::from_secs(3));
+        self.step(node, request);
+        self.advance(Duration::from_secs(3));
         if self.dispatched.contains(&call) {
             let outcome = event::CallOutcome::Answered(Box::new(answer()));
             self.step(node, event::KeyEvent::Ended { call, outcome });
         }
-        self.told.get(told).cloned()
+        self.verdicts.get(next_verdict).cloned()
     }
 
-    fn pass(&mut self, span: Duration) {
+    fn advance(&mut self, span: Duration) {
         let until = self.now + span;
         while self.now < until {
             self.now = until.min(self.now + Duration::from_millis(100));
@@ -100,15 +101,16 @@
         for effect in self.nodes[at].1.step(self.now, event) {
             match effect {
                 effect::KeyEffect::Send { to, .. }
-                    if (self.deaf && to == ENTRY) || (self.mute && node == ENTRY) => {}
+                    if (self.drop_to_entry && to == ENTRY)
+                        || (self.drop_from_entry && node == ENTRY) => {}
                 effect::KeyEffect::Send { to, message } => {
                     let from = node;
                     self.step(to, event::KeyEvent::Message { from, message });
                 }
                 effect::KeyEffect::Dispatch { call } => self.dispatched.push(call),
-                effect::KeyEffect::Decide { verdict, .. } => self.told.push(verdict),
-                effect::KeyEffect::RequestSlot { id, request: ask } => {
-                    let reply = self.store(&ask);
+                effect::KeyEffect::Decide { verdict, .. } => self.verdicts.push(verdict),
+                effect::KeyEffect::RequestSlot { id, request } => {
+                    let reply = self.store(&request);
                     self.step(node, event::KeyEvent::StoreReplied { id, reply });
                 }
                 effect::KeyEffect::Report(_) => {}
@@ -116,12 +118,12 @@
         }
     }
 
-    fn store(&mut self, ask: &effect::SlotRequest) -> event::SlotReply {
+    fn store(&mut self, request: &effect::SlotRequest) -> event::SlotReply {
         if self.store_down {
             return event::SlotReply::Unknown;
         }
         let find = |slot| self.records.iter().position(|record| record.0.slot == slot);
-        match *ask {
+        match *request {
             effect::SlotRequest::Read { slot } => {
                 event::SlotReply::Found(find(slot).map(|at| self.records[at]))
             }
@@ -144,7 +146,7 @@
         &self.nodes.iter().find(|held| held.0 == node).unwrap().1
     }
 
-    /// The node that grants the keys of the one slot in use.
+    /// The primary of the only slot in use.
     fn primary(&self) -> ident::NodeId {
         let grants = |node: &ident::NodeId| {
             let dump = self.owner(*node).dump();
@@ -153,7 +155,7 @@
         [PRIMARY, BACKUP].into_iter().find(grants).unwrap()
     }
 
-    /// The records of `node` over all its slots.
+    /// The number of records that `node` holds in all its slots.
     fn records_of(&self, node: ident::NodeId) -> usize {
         self.owner(node)
             .dump()
@@ -164,7 +166,7 @@
     }
 }
 
-fn on_demand() -> policy::KeyPolicy {
+fn claim_on_demand() -> policy::KeyPolicy {
     policy::KeyPolicy {
         claim_scan_slots: 0,
         copy_part_records: 2,
@@ -206,11 +208,11 @@
     count * u128::from(slots::SLOT_COUNT)
 }
 
-// A workshop's client uses one key for two different bids. The second one is refused as not run,
-// because answering it with the first bid's receipt would lose the second bid.
+// A client reuses a key for a different request. It is refused as not run, because answering it
+// with the cached answer of the first request would silently drop the second one.
 #[test]
 fn key_of_another_request_is_refused() {
-    let mut pair = Pair::start(on_demand());
+    let mut pair = Pair::start(claim_on_demand());
     assert_eq!(pair.submit(PRIMARY, 7, 1), None);
     assert_eq!(
         pair.submit(BACKUP, 7, 2),
@@ -220,42 +222,43 @@
     assert_eq!(pair.dispatched.len(), 1);
 }
 
-// The store is out for longer than a primary may go on unconfirmed. By then a third node may have
-// taken the slot, so new keys are refused as not run; known ones are still answered.
+// The store is unavailable for longer than a primary may grant keys without confirmation. A third
+// node may have taken over the slot by then, so new keys are refused as not run, while recorded
+// ones are still answered.
 #[test]
 fn primary_without_the_store_stops_in_time() {
-    let mut pair = Pair::start(on_demand());
+    let mut pair = Pair::start(claim_on_demand());
     assert_eq!(pair.submit(PRIMARY, 7, 1), None);
     pair.store_down = true;
-    pair.pass(Duration::from_secs(600));
+    pair.advance(Duration::from_secs(600));
     assert_eq!(pair.submit(BACKUP, key_of_slot(1) + 7, 1), None);
-    pair.pass(Duration::from_secs(1_300));
+    pair.advance(Duration::from_secs(1_300));
     let unavailable = not_run(verdict::RefusalReason::KeyUnavailable);
     assert_eq!(pair.submit(BACKUP, key_of_slot(2) + 7, 1), unavailable);
     assert_eq!(pair.submit(BACKUP, 7, 1), answered());
     pair.store_down = false;
-    pair.pass(Duration::from_secs(5));
+    pair.advance(Duration::from_secs(5));
     assert_eq!(pair.submit(BACKUP, key_of_slot(2) + 7, 1), None);
 }
 
-// A key is remembered for the retention and no longer, so that the tables stay bounded; a copy
-// sent after it is a new action, as the operators' page says.
+// A key is retained for the retention time and no longer, so that the tables stay bounded. A copy
+// that is sent later counts as a new request, as the documentation for operators says.
 #[test]
 fn key_is_forgotten_after_the_retention() {
-    let mut pair = Pair::start(on_demand());
+    let mut pair = Pair::start(claim_on_demand());
     assert_eq!(pair.submit(PRIMARY, 7, 1), None);
-    pair.pass(Duration::from_secs(3_500));
+    pair.advance(Duration::from_secs(3_500));
     assert_eq!(pair.submit(BACKUP, 7, 1), answered());
-    pair.pass(Duration::from_secs(200));
+    pair.advance(Duration::from_secs(200));
     assert_eq!(pair.records_of(PRIMARY) + pair.records_of(BACKUP), 0);
     assert_eq!(pair.submit(BACKUP, 7, 1), None);
 }
 
-// The primary stops while it holds more records than fit one part of a copy. The backup takes its
-// slots and answers every key from its table; the primary then holds nothing and may leave.
+// The primary stops while it holds more records than one part of a copy. The backup takes over its
+// slots and answers every key from its table; the primary then owns no slot and may exit.
 #[test]
 fn planned_stop_hands_every_record_over() {
-    let mut pair = Pair::start(on_demand());
+    let mut pair = Pair::start(claim_on_demand());
     for count in 0..25 {
         assert_eq!(pair.submit(PRIMARY, key_of_slot(count), 1), None);
     }
@@ -263,43 +266,43 @@
     let other = other_than(node);
     pair.step(other, health(node, peers::PeerHealth::Leaving));
     pair.step(node, event::KeyEvent::Leave);
-    pair.pass(Duration::from_secs(1));
+    pair.advance(Duration::from_secs(1));
     assert!(pair.owner(node).is_released());
     for count in 0..25 {
         assert_eq!(pair.submit(other, key_of_slot(count), 1), answered());
     }
 }
 
-// A bidder's node hears nothing of the grant of its bid, gives the bid up as not run, and the word
-// that the key is free is lost on the way. The bidder sends the bid again, to the other node. It is
-// filed: the entry node says that the key is free until the owner has confirmed it. Otherwise every
-// copy would hear for ten minutes that the first one is in progress, though it never ran.
+// The grant for a call is lost, so its entry node abandons the call as not run, and the notice that
+// releases the key is lost too. The entry node repeats the notice until the owner has confirmed it,
+// so a copy sent to another node runs. Otherwise every copy would be refused as in progress for ten
+// minutes, although the first one never ran.
 #[test]
-fn key_of_a_call_that_was_given_up_is_freed_though_words_are_lost() {
-    let mut pair = Pair::start(on_demand());
+fn key_of_an_abandoned_call_is_released_despite_lost_messages() {
+    let mut pair = Pair::start(claim_on_demand());
     assert_eq!(pair.submit(PRIMARY, key_of_slot(0), 1), None);
-    pair.deaf = true;
+    pair.drop_to_entry = true;
     pair.calls += 1;
     let call = ident::CallId {
         node: ENTRY,
         sequence: pair.calls,
     };
-    let ask = event::KeyEvent::Request {
+    let request = event::KeyEvent::Request {
         call,
         key: ident::RequestKey(key_of_slot(1)),
         fingerprint: ident::PrintHash(1),
         wait: Duration::from_secs(2),
     };
-    pair.step(ENTRY, ask);
-    pair.pass(Duration::from_millis(1_500));
-    pair.mute = true;
-    pair.pass(Duration::from_secs(1));
+    pair.step(ENTRY, request);
+    pair.advance(Duration::from_millis(1_500));
+    pair.drop_from_entry = true;
+    pair.advance(Duration::from_secs(1));
     assert_eq!(
-        pair.told.last().cloned(),
+        pair.verdicts.last().cloned(),
         not_run(verdict::RefusalReason::KeyUnavailable)
     );
-    (pair.deaf, pair.mute) = (false, false);
-    pair.pass(Duration::from_secs(1));
+    (pair.drop_to_entry, pair.drop_from_entry) = (false, false);
+    pair.advance(Duration::from_secs(1));
     assert_eq!(pair.submit(PRIMARY, key_of_slot(1), 1), None);
     assert_eq!(pair.dispatched.len(), 2);
 }
--- a/crates/anvil_once/tests/random_runs.rs
+++ b/crates/anvil_once/tests/random_runs.rs
@@ -1,7 +1,7 @@
-//! Longer runs of the key owners, drawn at random with fixed seeds.
+//! Longer random runs of the key owners with fixed seeds.
 //!
-//! The explorer of `exhaustive.rs` sees every order of few faults; here many faults of all kinds
-//! meet in one run, and the reference is what callers were promised.
+//! The explorer of `exhaustive.rs` covers every order of a few faults. Here a single run combines
+//! many faults of all kinds, and the reference model is what callers are guaranteed.
 
 #[allow(dead_code)]
 mod support;
@@ -26,22 +26,22 @@
     leaves: 2,
 };
 
-/// What callers were promised, whatever happens: one run, and the steps taken so far.
+/// The guarantee to callers: the key runs at most this often.
 #[derive(Clone, Debug)]
-struct Promise {
-    most_runs: usize,
+struct Guarantee {
+    max_runs: usize,
 }
 
-/// Takes one of the actions possible at that moment.
+/// Selects one of the actions that are possible in the current state.
 #[derive(Clone, Copy, Debug)]
 struct Step(usize);
 
-impl ReferenceStateMachine for Promise {
+impl ReferenceStateMachine for Guarantee {
     type State = Self;
     type Transition = Step;
 
     fn init_state() -> BoxedStrategy<Self> {
-        Just(Self { most_runs: 1 }).boxed()
+        Just(Self { max_runs: 1 }).boxed()
     }
 
     fn transitions(_: &Self) -> BoxedStrategy<Step> {
@@ -67,27 +67,27 @@
 
 impl StateMachineTest for Fleet {
     type SystemUnderTest = world::World;
-    type Reference = Promise;
+    type Reference = Guarantee;
 
-    fn init_test(_: &Promise) -> world::World {
+    fn init_test(_: &Guarantee) -> world::World {
         world::World::new(policy::KeyGuards::ALL, BUDGET)
     }
 
-    fn apply(world: world::World, promise: &Promise, step: Step) -> world::World {
+    fn apply(world: world::World, guarantee: &Guarantee, step: Step) -> world::World {
         let world = Self::step(world, step);
-        assert!(world.ran.len() <= promise.most_runs);
+        assert!(world.ran.len() <= guarantee.max_runs);
         assert!(!world.is_broken());
         world
     }
 
-    // The faults are over: whoever still waits is answered, and a caller that got an answer got
-    // that of the one run.
-    fn teardown(mut world: world::World, promise: Promise) {
+    // After the faults have ended, every waiting caller receives a verdict, and every answer is
+    // that of the single run.
+    fn teardown(mut world: world::World, guarantee: Guarantee) {
         world.settle();
         assert!(!world.is_broken());
-        assert!(world.ran.len() <= promise.most_runs);
+        assert!(world.ran.len() <= guarantee.max_runs);
         assert!(world.answered() == 0 || world.ran.len() == 1);
-        assert_eq!(world.waiting(), 0, "a caller waits for ever");
+        assert_eq!(world.waiting(), 0, "a caller waits forever");
     }
 }
 
@@ -104,7 +104,7 @@
     fn many_faults_never_run_a_key_twice(sequential 50..150 => Fleet);
 }
 
-/// Whether one of many random runs breaks a promise.
+/// Whether one of many random runs breaks the guarantee.
 fn some_run_breaks(guards: policy::KeyGuards) -> bool {
     let config = ProptestConfig {
         cases: 2_000,
--- a/crates/anvil_once/tests/support/actions.rs
+++ b/crates/anvil_once/tests/support/actions.rs
@@ -1,10 +1,10 @@
-//! What can happen next in a [`world::World`], and how often each kind of fault may.
+//! The actions that are possible in a [`world::World`], and the number of faults in a run.
 
 use anvil_types::ident;
 
 use super::world;
 
-/// How many faults of each kind a run may hold.
+/// How many faults of each kind may still happen in a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct FaultBudget {
     pub(crate) crashes: u8,
@@ -44,43 +44,43 @@
     Deliver(usize),
     Duplicate(usize),
     Lose(usize),
-    Store(usize, StoreFate),
+    Store(usize, StoreDelivery),
     Reply(usize),
     Suspect(ident::NodeId, ident::NodeId),
     Crash(ident::NodeId),
     Tick(ident::NodeId),
-    End(ident::CallId, CallFate),
+    End(ident::CallId, RunOutcome),
     Abandon(ident::CallId),
-    /// A node is asked to stop; the others hear of it, or never do.
-    Leave(ident::NodeId, WordFate),
-    /// A node that was asked to stop and has handed over all it held ends.
+    /// A node begins a planned stop; the other nodes are notified, or the notice is lost.
+    Leave(ident::NodeId, NoticeDelivery),
+    /// A stopping node that has handed over its slots exits.
     Exit(ident::NodeId),
 }
 
-/// Whether the others hear that a node leaves.
+/// Whether the other nodes are notified that a node leaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum WordFate {
-    Heard,
+pub(crate) enum NoticeDelivery {
+    Delivered,
     Lost,
 }
 
-/// What becomes of a question to the store.
+/// What happens to a request to the store and its reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum StoreFate {
+pub(crate) enum StoreDelivery {
     Answered,
     AnswerLost,
     NeverArrived,
 }
 
-/// What becomes of a call that was dispatched.
+/// How a dispatched call ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum CallFate {
+pub(crate) enum RunOutcome {
     Answered,
     NotRun,
 }
 
 impl world::World {
-    /// Everything that can happen next.
+    /// All actions that are possible in this state.
     pub(crate) fn actions(&self) -> Vec<WorldAction> {
         let mut actions = Vec::new();
         self.call_actions(&mut actions);
@@ -98,8 +98,9 @@
                 .iter()
                 .filter(|call| call.node == node)
                 .count();
-            let open = self.is_open(node);
-            // The entry nodes are alike, so the first to be asked may be called the first.
+            let open = self.has_open_call(node);
+            // The entry nodes are interchangeable, so the first call is always submitted to the
+            // first one.
             let in_turn = node == world::ENTRIES[0] || !self.submitted.is_empty();
             let allowed = (calls == 0 && in_turn) || (!open && self.budget.resends > 0);
             if self.is_alive(node) && allowed {
@@ -107,19 +108,19 @@
             }
         }
         for call in &self.running {
-            actions.push(WorldAction::End(*call, CallFate::Answered));
+            actions.push(WorldAction::End(*call, RunOutcome::Answered));
             if self.budget.not_runs > 0 {
-                actions.push(WorldAction::End(*call, CallFate::NotRun));
+                actions.push(WorldAction::End(*call, RunOutcome::NotRun));
             }
         }
         if self.budget.abandons > 0 {
-            let open = self.submitted.iter().filter(|call| self.waits(**call));
+            let open = self.submitted.iter().filter(|call| self.is_waiting(**call));
             actions.extend(open.map(|call| WorldAction::Abandon(*call)));
         }
     }
 
     fn network_actions(&self, actions: &mut Vec<WorldAction>) {
-        for at in 0..self.net.len() {
+        for at in 0..self.network.len() {
             actions.push(WorldAction::Deliver(at));
             if self.budget.duplicates > 0 {
                 actions.push(WorldAction::Duplicate(at));
@@ -131,11 +132,11 @@
     }
 
     fn store_actions(&self, actions: &mut Vec<WorldAction>) {
-        for at in 0..self.asks.len() {
-            actions.push(WorldAction::Store(at, StoreFate::Answered));
+        for at in 0..self.store_requests.len() {
+            actions.push(WorldAction::Store(at, StoreDelivery::Answered));
             if self.budget.lost_replies > 0 {
-                actions.push(WorldAction::Store(at, StoreFate::AnswerLost));
-                actions.push(WorldAction::Store(at, StoreFate::NeverArrived));
+                actions.push(WorldAction::Store(at, StoreDelivery::AnswerLost));
+                actions.push(WorldAction::Store(at, StoreDelivery::NeverArrived));
             }
         }
         actions.extend((0..self.replies.len()).map(WorldAction::Reply));
@@ -165,20 +166,20 @@
         if self.budget.ticks > 0 {
             let waiting = world::ENTRIES
                 .into_iter()
-                .filter(|node| self.is_open(*node));
+                .filter(|node| self.has_open_call(*node));
             actions.extend(waiting.map(WorldAction::Tick));
         }
     }
 
     fn leave_actions(&self, actions: &mut Vec<WorldAction>) {
-        let stays = |node: &ident::NodeId| self.is_alive(*node) && !self.leaving.contains(node);
+        let running = |node: &ident::NodeId| self.is_alive(*node) && !self.leaving.contains(node);
         if self.budget.leaves > 0 {
             for node in [world::PRIMARY, world::BACKUP, world::ENTRIES[0]]
                 .into_iter()
-                .filter(stays)
+                .filter(running)
             {
-                actions.push(WorldAction::Leave(node, WordFate::Heard));
-                actions.push(WorldAction::Leave(node, WordFate::Lost));
+                actions.push(WorldAction::Leave(node, NoticeDelivery::Delivered));
+                actions.push(WorldAction::Leave(node, NoticeDelivery::Lost));
             }
         }
         let done = self.leaving.iter().filter(|node| self.may_exit(**node));
--- a/crates/anvil_once/tests/support/explorer.rs
+++ b/crates/anvil_once/tests/support/explorer.rs
@@ -1,4 +1,4 @@
-//! Goes through every state that a [`world::World`] can reach.
+//! Explores every state that a [`world::World`] can reach.
 
 use std::collections::HashSet;
 
@@ -6,23 +6,23 @@
 
 use super::world;
 
-/// What an exploration found.
+/// The result of an exploration.
 pub(crate) struct Exploration {
-    /// Different states seen.
+    /// Distinct states visited.
     pub(crate) states: usize,
     /// States in which the key has run or may be running.
     pub(crate) dispatches: usize,
-    /// The actions that lead to a second run, with the first state in which it shows.
+    /// The actions up to the first state that breaks a guarantee; `None` if there is no such state.
     pub(crate) second_run: Option<Vec<String>>,
 }
 
-/// Goes through every state within `budget`, depth first, until a promise is broken: a key that
-/// may have run twice, or a call that ran though its caller was told that it did not.
+/// Explores every state within `budget`, depth first, until a guarantee is broken: a key may have
+/// run twice, or a call ran although its caller received a not-run verdict.
 pub(crate) fn explore(guards: policy::KeyGuards, budget: world::FaultBudget) -> Exploration {
     explore_from(world::World::new(guards, budget))
 }
 
-/// Goes through every state that follows `first`.
+/// Explores every state that is reachable from `first`.
 pub(crate) fn explore_from(first: world::World) -> Exploration {
     let mut seen = HashSet::from([first.digest()]);
     let mut dispatches = 0;
@@ -79,7 +79,7 @@
         world::WorldAction::Deliver(at)
         | world::WorldAction::Duplicate(at)
         | world::WorldAction::Lose(at) => {
-            let packet = &world.net[*at].part;
+            let packet = &world.network[*at].part;
             format!(
                 "{action:?}: {} to {}: {:?}",
                 packet.from, packet.to, packet.message
--- a/crates/anvil_once/tests/support/mod.rs
+++ b/crates/anvil_once/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Shared by the tests of the key owners.
+//! Support code shared by the tests of the key owners.
 
 pub(crate) mod actions;
 pub(crate) mod explorer;
--- a/crates/anvil_once/tests/support/world.rs
+++ b/crates/anvil_once/tests/support/world.rs
@@ -1,7 +1,8 @@
-//! A fleet of key owners, a network and a store, of which every step is one chosen action.
+//! A model of key owners, a network and a store in which every step is one explicit action.
 //!
-//! Time stands still and all retry times are zero, so any order of events is possible: a paused
-//! node is one whose messages wait, a wrongly suspected one is one whose suspicion is an action.
+//! The clock does not advance and all retry delays are zero, so any order of events is possible. A
+//! paused process is a node whose messages are not delivered yet, and a false suspicion is an
+//! action of its own.
 
 use std::hash::{Hash, Hasher};
 use std::rc::Rc;
@@ -12,7 +13,9 @@
 use anvil_wire::{call, key};
 use xxhash_rust::xxh3;
 
-pub(crate) use super::actions::{CallFate, FaultBudget, StoreFate, WordFate, WorldAction};
+pub(crate) use super::actions::{
+    FaultBudget, NoticeDelivery, RunOutcome, StoreDelivery, WorldAction,
+};
 
 /// Entry nodes.
 pub(crate) const ENTRIES: [ident::NodeId; 2] = [ident::NodeId(1), ident::NodeId(2)];
@@ -27,7 +30,7 @@
 /// The one key.
 pub(crate) const KEY: ident::RequestKey = ident::RequestKey(0);
 
-/// Enough ticks for a takeover after every fault.
+/// Rounds of ticks that are enough for a takeover after every fault.
 const SETTLE_ROUNDS: usize = 20;
 
 const NOW: time::NodeTime = time::NodeTime(10_000_000);
@@ -39,7 +42,8 @@
     pub(crate) message: key::KeyMessage,
 }
 
-/// A shared part of the state with its digest, so that a step costs only what it changes.
+/// A shared part of the state with its digest, so that a step copies and hashes only what it
+/// changes.
 #[derive(Clone)]
 pub(crate) struct Digested<T> {
     digest: u128,
@@ -69,23 +73,23 @@
     }
 }
 
-/// The whole state.
+/// The state of the model.
 #[derive(Clone, Hash)]
 pub(crate) struct World {
     nodes: Vec<Digested<owner::KeyOwner>>,
-    /// Sorted by digest, because the network keeps no order.
-    pub(crate) net: Vec<Digested<Packet>>,
+    /// Sorted by digest, because the network does not preserve order.
+    pub(crate) network: Vec<Digested<Packet>>,
     record: Option<(key::SlotView, u64)>,
-    pub(crate) asks: Vec<(ident::NodeId, effect::SlotRequestId, effect::SlotRequest)>,
+    pub(crate) store_requests: Vec<(ident::NodeId, effect::SlotRequestId, effect::SlotRequest)>,
     pub(crate) replies: Vec<(ident::NodeId, effect::SlotRequestId, event::SlotReply)>,
     pub(crate) submitted: Vec<ident::CallId>,
     pub(crate) running: Vec<ident::CallId>,
     /// The calls that ran the key.
     pub(crate) ran: Vec<ident::CallId>,
-    /// What callers were told.
-    pub(crate) told: Vec<(ident::CallId, effect::KeyVerdict)>,
+    /// The verdicts that callers received.
+    pub(crate) verdicts: Vec<(ident::CallId, effect::KeyVerdict)>,
     pub(crate) budget: FaultBudget,
-    /// Nodes that were asked to stop and have not ended.
+    /// Nodes that are stopping and have not exited.
     pub(crate) leaving: Vec<ident::NodeId>,
 }
 
@@ -129,7 +133,7 @@
 }
 
 impl World {
-    /// Two entry nodes that know the owners, and owners that know each other.
+    /// Creates two entry nodes that know the owners, and owners that know each other.
     pub(crate) fn new(guards: policy::KeyGuards, budget: FaultBudget) -> Self {
         let nodes = ENTRIES.iter().chain(&OWNERS).copied();
         let build = |node| {
@@ -139,22 +143,22 @@
         };
         let mut world = Self {
             nodes: nodes.map(build).collect(),
-            net: Vec::new(),
+            network: Vec::new(),
             record: Some((first_view(), 1)),
-            asks: Vec::new(),
+            store_requests: Vec::new(),
             replies: Vec::new(),
             submitted: Vec::new(),
             running: Vec::new(),
             ran: Vec::new(),
-            told: Vec::new(),
+            verdicts: Vec::new(),
             budget,
             leaving: Vec::new(),
         };
-        world.introduce();
+        world.exchange_first_views();
         world
     }
 
-    fn introduce(&mut self) {
+    fn exchange_first_views(&mut self) {
         for at in 0..self.nodes.len() {
             let node = self.nodes[at].node;
             for other in OWNERS {
@@ -169,40 +173,41 @@
                 },
             );
         }
-        // The first epoch begins with an empty copy and a read of the record.
-        self.run_calm();
+        // The primary sends an empty copy to the backup and reads its record.
+        self.run_without_faults();
     }
 
-    /// Lets everything under way come to its end, in one order.
-    pub(crate) fn run_calm(&mut self) {
+    /// Runs everything in flight to its end, in one fixed order and without faults.
+    pub(crate) fn run_without_faults(&mut self) {
         let mut steps = 0;
-        while let Some(action) = self.calm_action() {
+        while let Some(action) = self.next_faultless_action() {
             steps += 1;
-            assert!(steps < 1_000, "the nodes never come to rest");
+            assert!(steps < 1_000, "the nodes never become idle");
             self.apply(&action);
         }
     }
 
-    /// Callers that have not been told anything.
+    /// The number of callers without a verdict.
     pub(crate) fn waiting(&self) -> usize {
-        let waits = self.submitted.iter().filter(|call| self.waits(**call));
-        waits.count()
+        let waiting = self.submitted.iter().filter(|call| self.is_waiting(**call));
+        waiting.count()
     }
 
-    /// Ends all faults: the network delivers, nodes learn who lives, and time passes.
+    /// Ends all faults: the network delivers, nodes learn which nodes are alive, and ticks happen.
     pub(crate) fn settle(&mut self) {
         for _ in 0..SETTLE_ROUNDS {
             let nodes: Vec<ident::NodeId> = self.nodes.iter().map(|entry| entry.node).collect();
             for node in nodes {
-                // An entry node takes a slot whose owners are gone, and others must know it to ask it.
-                let everybody = ENTRIES.into_iter().chain(OWNERS);
-                for other in everybody.filter(|other| *other != node) {
+                // An entry node takes over a slot whose owners are dead, so the others have to know
+                // the entry nodes too.
+                let all_nodes = ENTRIES.into_iter().chain(OWNERS);
+                for other in all_nodes.filter(|other| *other != node) {
                     let health = self.health_of(other);
                     self.step(node, peer(other, health));
                 }
                 self.step(node, event::KeyEvent::Tick);
             }
-            self.run_calm();
+            self.run_without_faults();
             for node in self.leaving.clone() {
                 if self.may_exit(node) {
                     self.crash(node);
@@ -219,7 +224,7 @@
         }
     }
 
-    /// Crashes both owners, and everybody hears of it.
+    /// Crashes both owners and notifies all other nodes.
     pub(crate) fn lose_owners(&mut self) {
         for lost in [PRIMARY, BACKUP] {
             self.apply(&WorldAction::Crash(lost));
@@ -230,33 +235,33 @@
     }
 
     /// The next action of a run without faults and without new calls.
-    fn calm_action(&self) -> Option<WorldAction> {
-        if !self.net.is_empty() {
+    fn next_faultless_action(&self) -> Option<WorldAction> {
+        if !self.network.is_empty() {
             return Some(WorldAction::Deliver(0));
         }
-        if !self.asks.is_empty() {
-            return Some(WorldAction::Store(0, StoreFate::Answered));
+        if !self.store_requests.is_empty() {
+            return Some(WorldAction::Store(0, StoreDelivery::Answered));
         }
         if !self.replies.is_empty() {
             return Some(WorldAction::Reply(0));
         }
         let call = self.running.first();
-        call.map(|call| WorldAction::End(*call, CallFate::Answered))
+        call.map(|call| WorldAction::End(*call, RunOutcome::Answered))
     }
 
-    /// Whether the key may have run twice, or ran for a call that was told it did not.
+    /// Whether the key may have run twice, or for a call that was reported as not run.
     pub(crate) fn is_broken(&self) -> bool {
         let runs = self.ran.iter().chain(&self.running);
-        let denied = runs.clone().any(|call| self.was_denied(*call));
-        runs.count() > 1 || denied
+        let contradicted = runs.clone().any(|call| self.was_reported_not_run(*call));
+        runs.count() > 1 || contradicted
     }
 
-    fn was_denied(&self, call: ident::CallId) -> bool {
-        let denial =
+    fn was_reported_not_run(&self, call: ident::CallId) -> bool {
+        let not_run =
             |verdict: &effect::KeyVerdict| matches!(verdict, effect::KeyVerdict::NotRun(_));
-        self.told
+        self.verdicts
             .iter()
-            .any(|told| told.0 == call && denial(&told.1))
+            .any(|(decided, verdict)| *decided == call && not_run(verdict))
     }
 
     /// Whether the key may have run.
@@ -264,10 +269,13 @@
         !self.ran.is_empty() || !self.running.is_empty()
     }
 
-    /// Calls that were answered whole.
+    /// The number of calls that were answered.
     pub(crate) fn answered(&self) -> usize {
-        let answer = effect::KeyVerdict::Answered(Box::new(claim_answer()));
-        self.told.iter().filter(|told| told.1 == answer).count()
+        let answer = effect::KeyVerdict::Answered(Box::new(run_answer()));
+        self.verdicts
+            .iter()
+            .filter(|(_, verdict)| *verdict == answer)
+            .count()
     }
 
     /// A digest of the state, equal for equal states.
@@ -279,15 +287,15 @@
         self.nodes.iter().any(|entry| entry.node == node)
     }
 
-    pub(crate) fn waits(&self, call: ident::CallId) -> bool {
-        let told = self.told.iter().any(|told| told.0 == call);
+    pub(crate) fn is_waiting(&self, call: ident::CallId) -> bool {
+        let has_verdict = self.verdicts.iter().any(|(decided, _)| *decided == call);
         let runs = self.running.contains(&call);
-        self.submitted.contains(&call) && !told && !runs
+        self.submitted.contains(&call) && !has_verdict && !runs
     }
 
-    pub(crate) fn is_open(&self, node: ident::NodeId) -> bool {
+    pub(crate) fn has_open_call(&self, node: ident::NodeId) -> bool {
         let mut calls = self.submitted.iter().filter(|call| call.node == node);
-        calls.any(|call| !self.told.iter().any(|told| told.0 == *call))
+        calls.any(|call| !self.verdicts.iter().any(|(decided, _)| decided == call))
     }
 
     /// Carries out one action.
@@ -295,19 +303,19 @@
         match action {
             WorldAction::Submit(node) => self.submit(*node),
             WorldAction::Deliver(at) => {
-                let packet = self.net.remove(*at);
+                let packet = self.network.remove(*at);
                 self.deliver(&packet.part);
             }
             WorldAction::Duplicate(at) => {
                 self.budget.duplicates -= 1;
-                let packet = self.net[*at].clone();
+                let packet = self.network[*at].clone();
                 self.deliver(&packet.part);
             }
             WorldAction::Lose(at) => {
                 self.budget.losses -= 1;
-                self.net.remove(*at);
+                self.network.remove(*at);
             }
-            WorldAction::Store(at, fate) => self.ask_store(*at, *fate),
+            WorldAction::Store(at, delivery) => self.answer_store_request(*at, *delivery),
             WorldAction::Reply(at) => {
                 let (node, id, reply) = self.replies.remove(*at);
                 self.step(node, event::KeyEvent::StoreReplied { id, reply });
@@ -328,22 +336,22 @@
                 self.budget.ticks -= 1;
                 self.step(*node, event::KeyEvent::Tick);
             }
-            WorldAction::End(call, fate) => self.end(*call, *fate),
+            WorldAction::End(call, run) => self.end(*call, *run),
             WorldAction::Abandon(call) => {
                 self.budget.abandons -= 1;
                 self.step(call.node, event::KeyEvent::Abandon { call: *call });
             }
-            WorldAction::Leave(node, word) => self.leave(*node, *word),
+            WorldAction::Leave(node, notice) => self.leave(*node, *notice),
             WorldAction::Exit(node) => self.crash(*node),
         }
     }
 
-    fn leave(&mut self, node: ident::NodeId, word: WordFate) {
+    fn leave(&mut self, node: ident::NodeId, notice: NoticeDelivery) {
         self.budget.leaves -= 1;
         self.leaving.push(node);
         self.leaving.sort_unstable();
         self.step(node, event::KeyEvent::Leave);
-        if word == WordFate::Heard {
+        if notice == NoticeDelivery::Delivered {
             let others: Vec<ident::NodeId> = self.nodes.iter().map(|entry| entry.node).collect();
             for other in others.into_iter().filter(|other| *other != node) {
                 self.step(other, peer(node, peers::PeerHealth::Leaving));
@@ -351,11 +359,11 @@
         }
     }
 
-    /// Whether a node that was asked to stop holds nothing any more, as its process would check.
+    /// Whether a stopping node may exit, by the same check as its process makes.
     pub(crate) fn may_exit(&self, node: ident::NodeId) -> bool {
         let found = self.nodes.iter().find(|entry| entry.node == node);
         let released = found.is_some_and(|entry| entry.part.is_released());
-        released && !self.is_open(node)
+        released && !self.has_open_call(node)
     }
 
     fn submit(&mut self, node: ident::NodeId) {
@@ -373,13 +381,13 @@
         };
         self.submitted.push(call);
         self.submitted.sort_unstable();
-        let ask = event::KeyEvent::Request {
+        let request = event::KeyEvent::Request {
             call,
             key: KEY,
             fingerprint: ident::PrintHash(7),
             wait: Duration::from_secs(5),
         };
-        self.step(node, ask);
+        self.step(node, request);
     }
 
     fn deliver(&mut self, packet: &Packet) {
@@ -391,17 +399,17 @@
         }
     }
 
-    fn ask_store(&mut self, at: usize, fate: StoreFate) {
-        let (node, id, ask) = self.asks.remove(at);
-        if fate != StoreFate::Answered {
+    fn answer_store_request(&mut self, at: usize, delivery: StoreDelivery) {
+        let (node, id, request) = self.store_requests.remove(at);
+        if delivery != StoreDelivery::Answered {
             self.budget.lost_replies -= 1;
         }
-        let reply = match (fate, ask) {
-            (StoreFate::NeverArrived, _) => event::SlotReply::Unknown,
+        let reply = match (delivery, request) {
+            (StoreDelivery::NeverArrived, _) => event::SlotReply::Unknown,
             (_, effect::SlotRequest::Read { .. }) => event::SlotReply::Found(self.record),
             (_, effect::SlotRequest::Swap { expected, view }) => self.swap(expected, view),
         };
-        let lost = fate != StoreFate::Answered;
+        let lost = delivery != StoreDelivery::Answered;
         let reply = if lost {
             event::SlotReply::Unknown
         } else {
@@ -427,36 +435,36 @@
         self.nodes.retain(|entry| entry.node != node);
         self.leaving.retain(|leaving| *leaving != node);
         self.replies.retain(|reply| reply.0 != node);
-        // What the node had dispatched may run to its end.
+        // The target may still finish the calls that the node had dispatched.
         let (lost, running) = self.running.iter().partition(|call| call.node == node);
         self.running = running;
         let lost: Vec<ident::CallId> = lost;
         self.ran.extend(lost);
     }
 
-    fn end(&mut self, call: ident::CallId, fate: CallFate) {
+    fn end(&mut self, call: ident::CallId, run: RunOutcome) {
         self.running.retain(|running| *running != call);
-        let outcome = match fate {
-            CallFate::Answered => {
+        let outcome = match run {
+            RunOutcome::Answered => {
                 self.ran.push(call);
-                event::CallOutcome::Answered(Box::new(claim_answer()))
+                event::CallOutcome::Answered(Box::new(run_answer()))
             }
-            CallFate::NotRun => {
+            RunOutcome::NotRun => {
                 self.budget.not_runs -= 1;
                 event::CallOutcome::NotRun
             }
         };
-        let verdict = match fate {
-            CallFate::Answered => effect::KeyVerdict::Answered(Box::new(claim_answer())),
-            CallFate::NotRun => effect::KeyVerdict::NotRun(verdict::RefusalReason::Unreachable),
+        let verdict = match run {
+            RunOutcome::Answered => effect::KeyVerdict::Answered(Box::new(run_answer())),
+            RunOutcome::NotRun => effect::KeyVerdict::NotRun(verdict::RefusalReason::Unreachable),
         };
-        self.tell(call, verdict);
+        self.record_verdict(call, verdict);
         self.step(call.node, event::KeyEvent::Ended { call, outcome });
     }
 
-    fn tell(&mut self, call: ident::CallId, verdict: effect::KeyVerdict) {
-        self.told.push((call, verdict));
-        self.told.sort_by_key(|told| told.0);
+    fn record_verdict(&mut self, call: ident::CallId, verdict: effect::KeyVerdict) {
+        self.verdicts.push((call, verdict));
+        self.verdicts.sort_by_key(|(decided, _)| *decided);
     }
 
     fn step(&mut self, node: ident::NodeId, event: event::KeyEvent) {
@@ -467,35 +475,36 @@
         let effects = owner.step(NOW, event);
         self.nodes[at] = Digested::new(node, owner);
         for effect in effects {
-            self.carry_out(node, effect);
+            self.apply_effect(node, effect);
         }
     }
 
-    fn carry_out(&mut self, from: ident::NodeId, effect: effect::KeyEffect) {
+    fn apply_effect(&mut self, from: ident::NodeId, effect: effect::KeyEffect) {
         match effect {
             effect::KeyEffect::Send { to, message } => {
                 let packet = Digested::new(from, Packet { from, to, message });
                 let at = self
-                    .net
+                    .network
                     .partition_point(|other| other.digest < packet.digest);
-                self.net.insert(at, packet);
+                self.network.insert(at, packet);
             }
             effect::KeyEffect::Dispatch { call } => {
                 self.running.push(call);
                 self.running.sort_unstable();
             }
-            effect::KeyEffect::Decide { call, verdict } => self.tell(call, verdict),
-            effect::KeyEffect::RequestSlot { id, request: ask } => {
-                self.asks.push((from, id, ask));
-                self.asks.sort_by_key(|ask| (ask.0, ask.1));
+            effect::KeyEffect::Decide { call, verdict } => self.record_verdict(call, verdict),
+            effect::KeyEffect::RequestSlot { id, request } => {
+                self.store_requests.push((from, id, request));
+                self.store_requests
+                    .sort_by_key(|request| (request.0, request.1));
             }
             effect::KeyEffect::Report(_) => {}
         }
     }
 }
 
-/// The one answer that a run gives.
-pub(crate) fn claim_answer() -> call::CallAnswer {
+/// The answer of every run.
+pub(crate) fn run_answer() -> call::CallAnswer {
     call::CallAnswer {
         status: 201,
         headers: Vec::new(),
--- a/crates/anvil_once/tests/table.rs
+++ b/crates/anvil_once/tests/table.rs
@@ -1,4 +1,4 @@
-//! The bucketed table of records against a naive map.
+//! Compares the bucketed table of records with a naive map.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -27,15 +27,15 @@
     proptest::collection::vec(step, 1..200)
 }
 
-/// Spreads the keys over several buckets, some of them shared.
-fn wide(key: u8) -> ident::RequestKey {
+/// Spreads the keys over four buckets, so that a bucket holds several keys.
+fn spread_key(key: u8) -> ident::RequestKey {
     let bucket = u128::from(key % 4) << 120;
     ident::RequestKey(bucket | u128::from(key))
 }
 
 fn record(key: u8, order: u64) -> key::KeyRecord {
     key::KeyRecord {
-        key: wide(key),
+        key: spread_key(key),
         print: ident::PrintHash(1),
         call: ident::CallId {
             node: ident::NodeId(1),
@@ -63,18 +63,18 @@
             let now = time::NodeTime::from_millis(at as u64);
             match step {
                 TableStep::Merge { key, order } => {
-                    let known = naive.get(&wide(key)).map(|entry| entry.0);
+                    let known = naive.get(&spread_key(key)).map(|entry| entry.0);
                     prop_assert_eq!(
                         table.merge(now, record(key, order)),
                         known.is_none_or(|known| known <= order)
                     );
                     if known.is_none_or(|known| known < order) {
-                        naive.insert(wide(key), (order, now));
+                        naive.insert(spread_key(key), (order, now));
                     }
                 }
                 TableStep::Remove { key } => {
-                    table.remove(wide(key));
-                    naive.remove(&wide(key));
+                    table.remove(spread_key(key));
+                    naive.remove(&spread_key(key));
                 }
                 TableStep::Expire => {
                     table.expire(now, RETENTION);
