--- a/crates/anvil_rules/src/account.rs
+++ b/crates/anvil_rules/src/account.rs
@@ -49,8 +49,8 @@
 
     /// The account of this name.
     pub fn find(&self, name: &name::AccountName) -> Option<&Arc<AccountRecord>> {
-        let place = self.accounts.binary_search_by(|known| known.name.cmp(name));
-        place.ok().map(|place| &self.accounts[place])
+        let position = self.accounts.binary_search_by(|known| known.name.cmp(name));
+        position.ok().map(|position| &self.accounts[position])
     }
 
     /// Checks a table from elsewhere.
@@ -98,8 +98,8 @@
 
     /// The account that holds the key with this digest.
     pub fn holder(&self, digest: &account::KeyDigest) -> Option<&Arc<AccountRecord>> {
-        let place = self.holders.partition_point(|(known, _)| known < digest);
-        let (known, record) = self.holders.get(place)?;
+        let position = self.holders.partition_point(|(known, _)| known < digest);
+        let (known, record) = self.holders.get(position)?;
         (known == digest).then_some(record)
     }
 }
--- a/crates/anvil_rules/src/chain.rs
+++ b/crates/anvil_rules/src/chain.rs
@@ -99,13 +99,13 @@
     /// Links the base in order: a rule that the change speaks of alone, the others in runs.
     fn fill(&mut self) {
         let mut start = 0;
-        for (place, rule) in self.base.iter().enumerate() {
+        for (position, rule) in self.base.iter().enumerate() {
             let Ok(slot) = self.names.binary_search(&&rule.name) else {
                 continue;
             };
-            self.append_run(start..place);
+            self.append_run(start..position);
             self.link(slot, self.end(), LinkContent::Rule(Arc::clone(rule)));
-            start = place + 1;
+            start = position + 1;
         }
         self.append_run(start..self.base.len());
     }
--- a/crates/anvil_rules/src/change.rs
+++ b/crates/anvil_rules/src/change.rs
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RuleEdit {
     /// Add a rule, or replace the one of its name.
-    #[display("put {} {}", rule.name, place(before.as_ref()))]
+    #[display("put {} {}", rule.name, placement(before.as_ref()))]
     Put {
         /// The rule.
         rule: Arc<document::NamedRule>,
@@ -36,7 +36,7 @@
         before: Option<name::RuleName>,
     },
     /// Move a rule as it is.
-    #[display("move {name} {}", place(before.as_ref()))]
+    #[display("move {name} {}", placement(before.as_ref()))]
     Move {
         /// The rule.
         name: name::RuleName,
@@ -57,7 +57,7 @@
     },
 }
 
-fn place(before: Option<&name::RuleName>) -> String {
+fn placement(before: Option<&name::RuleName>) -> String {
     before.map_or_else(|| "at the end".to_owned(), |name| format!("before {name}"))
 }
 
@@ -180,7 +180,7 @@
     let kept = longest_increasing(&from);
     let mut before: Option<name::RuleName> = None;
     for (index, rule) in new.rules().iter().enumerate().rev() {
-        let same = from[index].is_some_and(|place| old.rules()[place] == *rule);
+        let same = from[index].is_some_and(|position| old.rules()[position] == *rule);
         match (same, kept[index]) {
             (true, true) => {}
             (true, false) => edits.push(RuleEdit::Move {
--- a/crates/anvil_rules/src/fault.rs
+++ b/crates/anvil_rules/src/fault.rs
@@ -237,11 +237,11 @@
         }
     }
 
-    pub(crate) fn add(&mut self, place: yaml::TextPosition, field: &str, reason: FaultReason) {
+    pub(crate) fn add(&mut self, position: yaml::TextPosition, field: &str, reason: FaultReason) {
         self.faults.push(RuleFault {
             file: self.file.to_owned(),
-            line: place.line,
-            column: place.column,
+            line: position.line,
+            column: position.column,
             field: field.to_owned(),
             reason,
         });
--- a/crates/anvil_rules/src/field.rs
+++ b/crates/anvil_rules/src/field.rs
@@ -19,7 +19,7 @@
 pub(crate) struct FieldMap<'a> {
     entries: &'a [yaml::YamlEntry],
     path: String,
-    place: yaml::TextPosition,
+    position: yaml::TextPosition,
 }
 
 impl<'a> FieldMap<'a> {
@@ -33,12 +33,12 @@
         let map = Self {
             entries,
             path: field.path.clone(),
-            place: field.node.place,
+            position: field.node.position,
         };
         for entry in entries {
             if !known.contains(&entry.key.as_str()) {
                 let reason = fault::FaultReason::UnknownField { known };
-                faults.add(entry.place, &join(&map.path, &entry.key), reason);
+                faults.add(entry.position, &join(&map.path, &entry.key), reason);
             }
         }
         Some(map)
@@ -62,7 +62,7 @@
         let field = self.get(name);
         if field.is_none() {
             let reason = fault::FaultReason::MissingField { name };
-            faults.add(self.place, or_document(&self.path), reason);
+            faults.add(self.position, or_document(&self.path), reason);
         }
         field
     }
@@ -83,7 +83,7 @@
 impl<'a> NodeField<'a> {
     /// Adds a fault about this field.
     pub(crate) fn fault(&self, reason: fault::FaultReason, faults: &mut fault::FaultList<'_>) {
-        faults.add(self.node.place, or_document(&self.path), reason);
+        faults.add(self.node.position, or_document(&self.path), reason);
     }
 
     fn wrong_type(&self, expected: &'static str, faults: &mut fault::FaultList<'_>) {
@@ -285,14 +285,14 @@
         T: Copy,
     {
         let text = self.text(faults)?;
-        let place = known.iter().position(|word| *word == text);
-        if place.is_none() {
+        let position = known.iter().position(|word| *word == text);
+        if position.is_none() {
             let reason = fault::FaultReason::UnknownWord {
                 found: text.to_owned(),
                 known,
             };
             self.fault(reason, faults);
         }
-        values.get(place?).copied()
+        values.get(position?).copied()
     }
 }
--- a/crates/anvil_rules/src/parse.rs
+++ b/crates/anvil_rules/src/parse.rs
@@ -66,7 +66,7 @@
         Err(error) => {
             let message = error.message;
             faults.add(
-                error.place,
+                error.position,
                 "document",
                 fault::FaultReason::Syntax { message },
             );
@@ -116,7 +116,7 @@
     };
     Some(LocatedRule {
         rule: Arc::new(rule),
-        line: item.node.place.line,
+        line: item.node.position.line,
     })
 }
 
@@ -125,7 +125,7 @@
     sorted.sort_by(|a, b| a.rule.name.cmp(&b.rule.name).then(a.line.cmp(&b.line)));
     for same in sorted.chunk_by(|a, b| a.rule.name == b.rule.name) {
         for later in &same[1..] {
-            let place = yaml::TextPosition {
+            let position = yaml::TextPosition {
                 line: later.line,
                 column: 1,
             };
@@ -133,7 +133,7 @@
                 name: later.rule.name.clone(),
                 line: same[0].line,
             };
-            faults.add(place, "name", reason);
+            faults.add(position, "name", reason);
         }
     }
 }
--- a/crates/anvil_rules/src/parse_account.rs
+++ b/crates/anvil_rules/src/parse_account.rs
@@ -12,7 +12,7 @@
 /// One account as read, with its line for later faults.
 struct LocatedAccount {
     record: table::AccountRecord,
-    place: yaml::TextPosition,
+    position: yaml::TextPosition,
 }
 
 /// Reads the list of accounts; none where a fault leaves no whole table.
@@ -54,7 +54,7 @@
     };
     Some(LocatedAccount {
         record,
-        place: item.node.place,
+        position: item.node.position,
     })
 }
 
@@ -97,9 +97,9 @@
         for later in &same[1..] {
             let reason = fault::FaultReason::DuplicateAccount {
                 name: later.record.name.clone(),
-                line: same[0].place.line,
+                line: same[0].position.line,
             };
-            faults.add(later.place, "name", reason);
+            faults.add(later.position, "name", reason);
         }
     }
 }
@@ -114,9 +114,9 @@
         for (_, later) in &same[1..] {
             let reason = fault::FaultReason::SharedKey {
                 name: same[0].1.record.name.clone(),
-                line: same[0].1.place.line,
+                line: same[0].1.position.line,
             };
-            faults.add(later.place, "keys", reason);
+            faults.add(later.position, "keys", reason);
         }
     }
 }
--- a/crates/anvil_rules/src/table.rs
+++ b/crates/anvil_rules/src/table.rs
@@ -43,8 +43,8 @@
         match key {
             TableKey::Exact(text) => entry_in(&mut self.exact, text),
             TableKey::Prefix(text) => {
-                if let Err(place) = self.lengths.binary_search(&text.len()) {
-                    self.lengths.insert(place, text.len());
+                if let Err(position) = self.lengths.binary_search(&text.len()) {
+                    self.lengths.insert(position, text.len());
                 }
                 entry_in(&mut self.prefixes, text)
             }
@@ -81,20 +81,20 @@
 }
 
 fn find<'a, V>(entries: &'a [(Box<str>, V)], key: &[u8]) -> Option<&'a V> {
-    let place = entries.binary_search_by(|(text, _)| text.as_bytes().cmp(key));
-    place.ok().map(|place| &entries[place].1)
+    let position = entries.binary_search_by(|(text, _)| text.as_bytes().cmp(key));
+    position.ok().map(|position| &entries[position].1)
 }
 
 fn entry_in<'a, V>(entries: &'a mut Vec<(Box<str>, V)>, key: &str) -> &'a mut V
 where
     V: Default,
 {
-    let place = match entries.binary_search_by(|(text, _)| text.as_ref().cmp(key)) {
-        Ok(place) => place,
-        Err(place) => {
-            entries.insert(place, (Box::from(key), V::default()));
-            place
+    let position = match entries.binary_search_by(|(text, _)| text.as_ref().cmp(key)) {
+        Ok(position) => position,
+        Err(position) => {
+            entries.insert(position, (Box::from(key), V::default()));
+            position
         }
     };
-    &mut entries[place].1
+    &mut entries[position].1
 }
--- a/crates/anvil_rules/src/yaml.rs
+++ b/crates/anvil_rules/src/yaml.rs
@@ -36,7 +36,7 @@
 #[derive(Clone, Debug)]
 pub struct YamlNode {
     /// Where the value begins.
-    pub place: TextPosition,
+    pub position: TextPosition,
     /// The value.
     pub value: YamlValue,
 }
@@ -66,7 +66,7 @@
     /// The key.
     pub key: String,
     /// Where the key stands.
-    pub place: TextPosition,
+    pub position: TextPosition,
     /// The value.
     pub node: YamlNode,
 }
@@ -75,7 +75,7 @@
 #[derive(Clone, Debug)]
 pub struct YamlError {
     /// Where reading stopped; the start of the text where the parser can't say.
-    pub place: TextPosition,
+    pub position: TextPosition,
     /// What the parser said.
     pub message: String,
 }
@@ -101,7 +101,7 @@
 pub fn parse(text: &str) -> Result<YamlNode, YamlError> {
     if text.len() > MAX_TEXT_BYTES {
         return Err(YamlError {
-            place: TextPosition { line: 1, column: 1 },
+            position: TextPosition { line: 1, column: 1 },
             message: format!("the text is longer than {MAX_TEXT_BYTES} bytes"),
         });
     }
@@ -118,7 +118,7 @@
     read.map(YamlNode::from).map_err(|error| {
         let location = error.location().filter(|location| location.line() > 0);
         YamlError {
-            place: location.map_or(TextPosition { line: 1, column: 1 }, TextPosition::from),
+            position: location.map_or(TextPosition { line: 1, column: 1 }, TextPosition::from),
             message: message_of(&error),
         }
     })
@@ -145,7 +145,7 @@
 impl From<Spanned<YamlValue>> for YamlNode {
     fn from(spanned: Spanned<YamlValue>) -> Self {
         Self {
-            place: spanned.referenced.into(),
+            position: spanned.referenced.into(),
             value: spanned.value,
         }
     }
@@ -228,7 +228,7 @@
         while let Some(key) = access.next_key::<Spanned<String>>()? {
             let node = access.next_value::<Spanned<YamlValue>>()?;
             entries.push(YamlEntry {
-                place: key.referenced.into(),
+                position: key.referenced.into(),
                 key: key.value,
                 node: YamlNode::from(node),
             });
