--- a/crates/anvil_membership/src/counters.rs
+++ b/crates/anvil_membership/src/counters.rs
@@ -56,8 +56,8 @@
     pub fn pairs(&self) -> impl Iterator<Item = (&'static str, u64)> {
         let counted = store_requests::RequestPurpose::ONE_PER_COUNTER
             .map(store_requests::RequestPurpose::counter);
-        let asked = counted.map(|(place, name)| (name, self.requests_by_purpose[place]));
-        self.totals().into_iter().chain(asked)
+        let requests = counted.map(|(index, name)| (name, self.requests_by_purpose[index]));
+        self.totals().into_iter().chain(requests)
     }
 
     fn totals(&self) -> [(&'static str, u64); 18] {
--- a/crates/anvil_membership/src/digest.rs
+++ b/crates/anvil_membership/src/digest.rs
@@ -38,17 +38,17 @@
     differing: &[u32],
 ) -> Vec<gossip::MemberHeader> {
     let mut wanted = vec![false; buckets];
-    for place in differing {
-        if let Some(flag) = wanted.get_mut(*place as usize) {
+    for index in differing {
+        if let Some(flag) = wanted.get_mut(*index as usize) {
             *flag = true;
         }
     }
-    let chosen = live(table).filter(|record| wanted[bucket(record, buckets)]);
+    let selected = live(table).filter(|record| wanted[bucket(record, buckets)]);
     let header = |record: &member::MemberRecord| gossip::MemberHeader {
         node: record.node,
         incarnation: record.incarnation,
     };
-    chosen.map(header).collect()
+    selected.map(header).collect()
 }
 
 fn live(table: &table::MemberTable) -> impl Iterator<Item = &member::MemberRecord> {
--- a/crates/anvil_membership/src/fleet.rs
+++ b/crates/anvil_membership/src/fleet.rs
@@ -81,7 +81,7 @@
     join: time::NodeTime,
     sync: time::NodeTime,
     /// An exchange of digests soon after many members ended, to find an end that was missed.
-    storm_sync: Option<time::NodeTime>,
+    mass_departure_sync: Option<time::NodeTime>,
     reconnect: time::NodeTime,
     trim: time::NodeTime,
 }
@@ -96,10 +96,10 @@
     incarnation: u32,
     left: bool,
     joined: bool,
-    repeating: bool,
+    relaying: bool,
     early_syncs: u8,
-    recent_ends: u32,
-    asks: store_requests::PendingRequests,
+    recent_departures: u32,
+    requests: store_requests::PendingRequests,
     contacts: contact::ContactState,
     rules: spread::RuleSpread,
     roster: roster::RosterCheck,
@@ -107,14 +107,14 @@
     census: census::CensusState,
     table: table::MemberTable,
     relays: relay::RelayQueue,
-    pushing: rumour_budget::RumourBudget,
+    rumours: rumour_budget::RumourBudget,
     suspicions: suspicion::SuspicionList,
     probes: probe::ProbeState,
     health: health::LocalHealth,
     choice: random::ChoiceSource,
     timers: FleetTimers,
-    awake: time::NodeTime,
-    woke: time::NodeTime,
+    last_active_at: time::NodeTime,
+    last_wake_at: time::NodeTime,
     counters: counters::FleetCounters,
 }
 
@@ -131,13 +131,13 @@
         let timers = FleetTimers {
             join: now,
             sync: now + choice.span(config.sync_interval),
-            storm_sync: None,
+            mass_departure_sync: None,
             reconnect: now + choice.span(config.reconnect_interval),
             trim: now + config.reconnect_interval,
         };
-        let first_turn = now + choice.span(config.probe_interval);
-        let first_find = now + choice.span(contact::FIRST_LIST_SPREAD);
-        let first_look = first_find + choice.span(contact::FIRST_CLAIM_SPREAD);
+        let first_period = now + choice.span(config.probe_interval);
+        let first_list = now + choice.span(contact::FIRST_LIST_SPREAD);
+        let first_claim = first_list + choice.span(contact::FIRST_CLAIM_SPREAD);
         let first_snapshot = choice.below(spread::SNAPSHOT_EVERY as usize) as u64;
         let first_snapshot = ident::RuleRevision(spread::SNAPSHOT_EVERY + first_snapshot);
         let rules = spread::RuleSpread::new(now, config.store, !config.seeds.is_empty());
@@ -146,7 +146,7 @@
             roster.expect_others(now);
         }
         let mut state = Self {
-            pushing: rumour_budget::RumourBudget::new(&config, now),
+            rumours: rumour_budget::RumourBudget::new(&config, now),
             config,
             local: local.node,
             zone: local.zone.clone(),
@@ -154,11 +154,11 @@
             incarnation: 0,
             left: false,
             joined: false,
-            repeating: true,
+            relaying: true,
             early_syncs: EARLY_SYNCS,
-            recent_ends: 0,
-            asks: store_requests::PendingRequests::default(),
-            contacts: contact::ContactState::new(first_find, first_look),
+            recent_departures: 0,
+            requests: store_requests::PendingRequests::default(),
+            contacts: contact::ContactState::new(first_list, first_claim),
             rules,
             roster,
             snapshot: snapshot::SnapshotState::new(first_snapshot),
@@ -166,12 +166,12 @@
             table: table::MemberTable::default(),
             relays: relay::RelayQueue::default(),
             suspicions: suspicion::SuspicionList::default(),
-            probes: probe::ProbeState::new(first_turn),
+            probes: probe::ProbeState::new(first_period),
             health: health::LocalHealth::default(),
             choice,
             timers,
-            awake: now,
-            woke: time::NodeTime::START,
+            last_active_at: now,
+            last_wake_at: time::NodeTime::START,
             counters: counters::FleetCounters::default(),
         };
         state.announce(local.facts(), now);
@@ -263,7 +263,7 @@
         if facts.leaving {
             // Given back now, while the process still runs to see it done; the slot would
             // otherwise stand vacant until the lease lapses.
-            self.release_contact(now, &mut out);
+            self.release_slot(now, &mut out);
             facts.contact = None;
         }
         if self.table.get(self.local).is_some_and(|r| r.facts == facts) {
@@ -271,7 +271,7 @@
         }
         self.incarnation = self.incarnation.saturating_add(1);
         self.announce(facts, now);
-        self.push_now(now, &mut out);
+        self.send_rumour_if_due(now, &mut out);
         out
     }
 
@@ -287,8 +287,8 @@
         self.table.set_state(self.local, rank, now);
         self.relay(self.local);
         // Said twice to different members, since nobody will repeat it for this node.
-        self.push_rumour(&mut out);
-        self.push_rumour(&mut out);
+        self.send_rumour(&mut out);
+        self.send_rumour(&mut out);
         self.left = true;
         out
     }
@@ -310,10 +310,10 @@
         for update in &message.updates {
             self.apply(now, update, &mut out);
         }
-        self.on_head(now, message.head, &mut out);
-        self.hear_revision(now, from, message.head, &mut out);
-        self.on_kind(now, from, message, &mut out);
-        self.push_now(now, &mut out);
+        self.note_sender(now, message.head, &mut out);
+        self.on_revision(now, from, message.head, &mut out);
+        self.on_payload(now, from, message, &mut out);
+        self.send_rumour_if_due(now, &mut out);
         out
     }
 
@@ -324,20 +324,20 @@
             return out;
         }
         self.note_pause(now, &mut out);
-        self.woke = now;
-        self.compare_when_due(now);
+        self.last_wake_at = now;
+        self.end_comparison_when_due(now);
         self.join_when_due(now, &mut out);
         self.probe_when_due(now, &mut out);
-        self.judge_suspects(now, &mut out);
-        self.ask_suspects(now, &mut out);
+        self.expire_suspects(now, &mut out);
+        self.ping_suspects(now, &mut out);
         self.reconnect_when_due(now, &mut out);
         self.sync_when_due(now, &mut out);
         self.trim_when_due(now);
-        self.lose_asks(now, &mut out);
+        self.expire_requests(now, &mut out);
         self.contacts_when_due(now, &mut out);
         self.rules_when_due(now, &mut out);
         self.census_when_due(now, &mut out);
-        self.push_now(now, &mut out);
+        self.send_rumour_if_due(now, &mut out);
         out
     }
 
@@ -354,20 +354,28 @@
         }
         let live = self.table.live();
         let suspect = self.suspicions.next_deadline(&self.config, live);
-        let push = self.pushing.next_wake();
+        let push = self.rumours.next_wake();
         if self.config.store {
             due = due.min(self.contacts.next_wake());
         }
-        let asks = self.asks.next_timeout();
-        let rules = self.rules_next();
+        let requests = self.requests.next_timeout();
+        let rules = self.next_rules_wake();
         let census = self.census.next_wake();
-        let storm = timers.storm_sync;
+        let mass_departure_sync = timers.mass_departure_sync;
         let compare = self.roster.next_wake();
-        let others = [suspect, push, asks, rules, census, storm, compare];
+        let others = [
+            suspect,
+            push,
+            requests,
+            rules,
+            census,
+            mass_departure_sync,
+            compare,
+        ];
         let others = others.into_iter().flatten();
         // A due time that nothing moves on would make the reducer spin; it costs a thousand wakes
         // a second at most.
-        Some(others.fold(due, Ord::min).max(self.woke + WAKE_GAP))
+        Some(others.fold(due, Ord::min).max(self.last_wake_at + WAKE_GAP))
     }
 
     /// Keeps probes and suspicions of a paused process from accusing others.
@@ -378,8 +386,8 @@
         let Some(due) = self.next_wake().filter(|_| self.config.lifeguard) else {
             return;
         };
-        let late = now.since(due.max(self.awake));
-        self.awake = now;
+        let late = now.since(due.max(self.last_active_at));
+        self.last_active_at = now;
         if late < self.config.pause_margin {
             return;
         }
--- a/crates/anvil_membership/src/fleet/claims.rs
+++ b/crates/anvil_membership/src/fleet/claims.rs
@@ -14,17 +14,17 @@
         out: &mut Vec<effect::FleetEffect>,
     ) {
         if update.node == self.local {
-            self.hear_of_self(now, update, out);
+            self.apply_self_claim(now, update, out);
             return;
         }
         match &update.standing {
-            gossip::MemberStanding::Alive(facts) => self.hear_alive(now, update, facts, out),
-            gossip::MemberStanding::Suspect { by } => self.hear_suspect(now, update, *by, out),
+            gossip::MemberStanding::Alive(facts) => self.apply_alive(now, update, facts, out),
+            gossip::MemberStanding::Suspect { by } => self.apply_suspect(now, update, *by, out),
             gossip::MemberStanding::Gone => {
-                self.hear_end(now, update, effect::DepartureReason::Crashed, out);
+                self.apply_departure(now, update, effect::DepartureReason::Crashed, out);
             }
             gossip::MemberStanding::Left => {
-                self.hear_end(now, update, effect::DepartureReason::Left, out);
+                self.apply_departure(now, update, effect::DepartureReason::Left, out);
             }
         }
     }
@@ -52,7 +52,7 @@
     /// What a member that may know nothing of `node` needs to hear: the facts, where it is live.
     ///
     /// A bare suspicion would tell such a member nothing, since it has no address to go with it.
-    pub(super) fn whole_claim(&self, node: ident::NodeId) -> Option<gossip::MemberUpdate> {
+    pub(super) fn full_claim(&self, node: ident::NodeId) -> Option<gossip::MemberUpdate> {
         let record = self.table.get(node)?;
         if !record.state.is_live() {
             return self.claim(node);
@@ -84,7 +84,11 @@
     }
 
     /// Asks the accused again, so that a refutation reaches its accuser on the shortest way.
-    pub(super) fn ask_suspects(&mut self, now: time::NodeTime, out: &mut Vec<effect::FleetEffect>) {
+    pub(super) fn ping_suspects(
+        &mut self,
+        now: time::NodeTime,
+        out: &mut Vec<effect::FleetEffect>,
+    ) {
         self.suspicions
             .ping_unresolved(self.config.suspicion_ceiling, now);
         for node in self
@@ -97,19 +101,19 @@
     }
 
     /// Declares the suspects gone whose time is over.
-    pub(super) fn judge_suspects(
+    pub(super) fn expire_suspects(
         &mut self,
         now: time::NodeTime,
         out: &mut Vec<effect::FleetEffect>,
     ) {
         let live = self.table.live();
         for node in self.suspicions.due(&self.config, live, now) {
-            self.end(now, node, effect::DepartureReason::Crashed, out);
+            self.mark_departed(now, node, effect::DepartureReason::Crashed, out);
         }
     }
 
     /// Ends a live member.
-    pub(super) fn end(
+    pub(super) fn mark_departed(
         &mut self,
         now: time::NodeTime,
         node: ident::NodeId,
@@ -132,7 +136,7 @@
             effect::DepartureReason::Crashed => self.counters.members_crashed += 1,
             effect::DepartureReason::Replaced => self.counters.members_replaced += 1,
         }
-        self.note_end(now);
+        self.note_departure(now);
         self.relay(node);
         out.push(effect::FleetEffect::MemberDeparted { node, reason });
         out.push(effect::FleetEffect::Report(effect::FleetReport::Departed {
@@ -148,7 +152,7 @@
     }
 
     /// Refutes whatever is said of this node that it did not say itself.
-    fn hear_of_self(
+    fn apply_self_claim(
         &mut self,
         now: time::NodeTime,
         update: &gossip::MemberUpdate,
@@ -183,7 +187,7 @@
         }));
     }
 
-    fn hear_alive(
+    fn apply_alive(
         &mut self,
         now: time::NodeTime,
         update: &gossip::MemberUpdate,
@@ -193,7 +197,7 @@
         let known = self.table.get(update.node);
         let rank = (update.incarnation, member::MemberState::Alive);
         if known.is_some_and(|r| rank <= r.rank()) {
-            self.take_late_facts(update, facts, out);
+            self.apply_late_facts(update, facts, out);
             return;
         }
         let was_live = known.is_some_and(|r| r.state.is_live());
@@ -224,10 +228,10 @@
         } else {
             self.relay(update.node);
         }
-        self.tell_alive(update.node, was_live, out);
+        self.report_live(update.node, was_live, out);
     }
 
-    fn tell_alive(
+    fn report_live(
         &mut self,
         node: ident::NodeId,
         was_live: bool,
@@ -246,7 +250,7 @@
     }
 
     /// Keeps facts that arrive behind a suspicion of their own incarnation.
-    fn take_late_facts(
+    fn apply_late_facts(
         &mut self,
         update: &gossip::MemberUpdate,
         facts: &gossip::MemberFacts,
@@ -267,7 +271,7 @@
         }
     }
 
-    fn hear_suspect(
+    fn apply_suspect(
         &mut self,
         now: time::NodeTime,
         update: &gossip::MemberUpdate,
@@ -291,7 +295,7 @@
             suspicion::Accusation::First => {
                 self.counters.suspicions += 1;
                 self.relay(node);
-                self.tell_alive(node, was_live, out);
+                self.report_live(node, was_live, out);
                 out.push(effect::FleetEffect::Report(
                     effect::FleetReport::Suspected { node, by },
                 ));
@@ -299,7 +303,7 @@
         }
     }
 
-    fn hear_end(
+    fn apply_departure(
         &mut self,
         now: time::NodeTime,
         update: &gossip::MemberUpdate,
@@ -316,7 +320,7 @@
             // Raise the incarnation first, so that the end is told under the one claimed.
             let live = (update.incarnation, record.state);
             self.table.set_state(node, live, now);
-            self.end(now, node, reason, out);
+            self.mark_departed(now, node, reason, out);
         } else {
             self.table.set_state(node, rank, now);
         }
--- a/crates/anvil_membership/src/fleet/contacts.rs
+++ b/crates/anvil_membership/src/fleet/contacts.rs
@@ -22,13 +22,13 @@
             return;
         }
         if now >= self.contacts.list_at {
-            self.find_contacts(now, out);
+            self.list_contacts(now, out);
         }
         if self.contacts.held.is_some_and(|held| held.renew_at <= now) {
-            self.renew_contact(now, out);
+            self.renew_lease(now, out);
         }
         if now >= self.contacts.vacancy_check_at {
-            self.look_for_vacancy(now, out);
+            self.check_vacancies(now, out);
         }
     }
 
@@ -44,7 +44,7 @@
             (
                 store_requests::RequestPurpose::ListContacts,
                 store::StoreOutcome::Done(store::StoreReply::Listed { entries, .. }),
-            ) => self.found_contacts(now, &entries, out),
+            ) => self.on_contacts_listed(now, &entries, out),
             (store_requests::RequestPurpose::ListContacts, _) => {
                 let pause = self.contacts.backoff.next_pause(self.choice.any());
                 self.contacts.list_at = now + pause;
@@ -52,22 +52,22 @@
             (
                 store_requests::RequestPurpose::GrantLease { slot },
                 store::StoreOutcome::Done(store::StoreReply::Granted { lease }),
-            ) => self.take_contact(now, slot, lease, store::SwapBase::Absent, out),
+            ) => self.claim_slot(now, slot, lease, store::SwapBase::Absent, out),
             (
                 store_requests::RequestPurpose::ClaimSlot { slot, lease },
                 store::StoreOutcome::Done(store::StoreReply::Swapped { version }),
-            ) => self.contact_taken(now, slot, lease, version, out),
+            ) => self.on_slot_claimed(now, slot, lease, version, out),
             (
                 store_requests::RequestPurpose::ClaimSlot { slot, lease },
                 store::StoreOutcome::Conflict { current },
             ) => {
-                self.contact_denied(now, (slot, lease), current.as_ref(), out);
+                self.on_slot_conflict(now, (slot, lease), current.as_ref(), out);
             }
             (
                 store_requests::RequestPurpose::RenewLease,
                 store::StoreOutcome::Done(store::StoreReply::Lapsed),
             ) => {
-                self.contact_lapsed(now, out);
+                self.on_lease_lapsed(now, out);
             }
             // An unavailable store keeps the entries as they are; the next look tries again.
             _ => {}
@@ -75,33 +75,39 @@
     }
 
     /// Gives the slot back before a planned stop.
-    pub(super) fn release_contact(
-        &mut self,
-        now: time::NodeTime,
-        out: &mut Vec<effect::FleetEffect>,
-    ) {
+    pub(super) fn release_slot(&mut self, now: time::NodeTime, out: &mut Vec<effect::FleetEffect>) {
         if let Some(held) = self.contacts.held.take() {
             let key = keys::contact(&self.zone, held.slot);
             let version = held.version;
-            let ask = store::StoreAsk::Remove { key, version };
-            self.ask(now, store_requests::RequestPurpose::ReleaseSlot, ask, out);
+            let request = store::StoreAsk::Remove { key, version };
+            self.request_store(
+                now,
+                store_requests::RequestPurpose::ReleaseSlot,
+                request,
+                out,
+            );
         }
     }
 
-    fn find_contacts(&mut self, now: time::NodeTime, out: &mut Vec<effect::FleetEffect>) {
+    fn list_contacts(&mut self, now: time::NodeTime, out: &mut Vec<effect::FleetEffect>) {
         // An answer sets the next time; without one, the loss of the question does.
         self.contacts.list_at = now + contact::LIST_INTERVAL * 2;
-        let ask = store::StoreAsk::List {
+        let request = store::StoreAsk::List {
             prefix: store::StoreKey::new(keys::CONTACTS),
             after: None,
             limit: LIST_LIMIT,
         };
-        self.ask(now, store_requests::RequestPurpose::ListContacts, ask, out);
+        self.request_store(
+            now,
+            store_requests::RequestPurpose::ListContacts,
+            request,
+            out,
+        );
     }
 
     /// Joins through contacts that this node doesn't know alive: all of the fleet for a newcomer,
     /// the other part where the fleet fell apart for longer than the dead are remembered.
-    fn found_contacts(
+    fn on_contacts_listed(
         &mut self,
         now: time::NodeTime,
         entries: &[store::StoreEntry],
@@ -111,20 +117,20 @@
         self.contacts.listed_at = Some(now);
         let decoded = entries.iter();
         let decoded = decoded.filter_map(|entry| gossip::ContactEntry::from_value(&entry.value));
-        let mut strangers: Vec<_> = decoded
+        let mut unknown: Vec<_> = decoded
             .filter(|contact| {
                 let known = self.table.get(contact.node);
                 known.is_none_or(|record| record.state == member::MemberState::Gone)
             })
             .collect();
-        self.choice.shuffle(&mut strangers);
-        self.contacts.has_unknown_contacts = !strangers.is_empty();
-        for contact in strangers.iter().take(JOIN_CONTACTS) {
+        self.choice.shuffle(&mut unknown);
+        self.contacts.has_unknown_contacts = !unknown.is_empty();
+        for contact in unknown.iter().take(JOIN_CONTACTS) {
             self.join_through(contact.udp, out);
         }
         // Only contacts look on, so the reads grow with the zones and not with the nodes.
         self.contacts.lists += 1;
-        let interval = match (self.joined, strangers.is_empty()) {
+        let interval = match (self.joined, unknown.is_empty()) {
             (true, _) => self.contacts.list_interval(),
             (false, true) if !self.roster.is_compared() => contact::ALONE_LIST_INTERVAL,
             (false, true) => self.contacts.list_interval(),
@@ -134,7 +140,7 @@
         if self.joined && self.contacts.held.is_none() {
             self.contacts.list_at = time::NodeTime(u64::MAX);
         }
-        if strangers.is_empty() && !self.joined {
+        if unknown.is_empty() && !self.joined {
             self.roster.expect_empty_list(now);
             self.read_log_soon(now);
         } else {
@@ -142,30 +148,35 @@
         }
     }
 
-    fn renew_contact(&mut self, now: time::NodeTime, out: &mut Vec<effect::FleetEffect>) {
+    fn renew_lease(&mut self, now: time::NodeTime, out: &mut Vec<effect::FleetEffect>) {
         let Some(held) = &mut self.contacts.held else {
             return;
         };
         held.renew_at = now + contact::RENEW_INTERVAL;
         let lease = held.lease;
-        let ask = store::StoreAsk::Renew { lease };
-        self.ask(now, store_requests::RequestPurpose::RenewLease, ask, out);
+        let request = store::StoreAsk::Renew { lease };
+        self.request_store(
+            now,
+            store_requests::RequestPurpose::RenewLease,
+            request,
+            out,
+        );
     }
 
     /// Becomes a candidate where a slot of the own zone has stood vacant long enough.
-    fn look_for_vacancy(&mut self, now: time::NodeTime, out: &mut Vec<effect::FleetEffect>) {
+    fn check_vacancies(&mut self, now: time::NodeTime, out: &mut Vec<effect::FleetEffect>) {
         let jitter = self.choice.span(contact::VACANCY_CHECK_INTERVAL / 4);
         self.contacts.vacancy_check_at = now + contact::VACANCY_CHECK_INTERVAL + jitter;
         if self.contacts.held.is_some() || self.is_leaving() {
             return;
         }
-        let Some(listed) = self.contacts.listed_at else {
+        let Some(listed_at) = self.contacts.listed_at else {
             return;
         };
         // Of many nodes that start on an empty store, the first ones take the slots and the others
         // see them when they read the list once more; otherwise each would cost a grant.
-        if !self.joined && now.since(listed) > self.config.max_list_age {
-            self.find_contacts(now, out);
+        if !self.joined && now.since(listed_at) > self.config.max_list_age {
+            self.list_contacts(now, out);
             self.contacts.vacancy_check_at = now + self.config.max_list_age / 2;
             return;
         }
@@ -181,7 +192,7 @@
             let since = *self.contacts.vacant_since[usize::from(slot)].get_or_insert(now);
             let wait = contact::CANDIDATE_WAIT * self.candidates_before(slot);
             if now.since(since) >= wait {
-                self.ask_for_slot(now, slot, out);
+                self.grant_slot_lease(now, slot, out);
                 return;
             }
         }
@@ -199,30 +210,35 @@
     /// Every node computes the same order, so a vacant slot costs the store one grant and not one
     /// from each node of the zone.
     fn candidates_before(&self, slot: u8) -> u32 {
-        let turn = |node: ident::NodeId| node.0.rotate_left(u32::from(slot) * 21);
-        let own = turn(self.local);
+        let order = |node: ident::NodeId| node.0.rotate_left(u32::from(slot) * 21);
+        let own = order(self.local);
         let members = self.table.all().iter().filter(|m| {
             m.state == member::MemberState::Alive
                 && m.facts.zone == self.zone
                 && m.facts.contact.is_none()
         });
-        let before = members.filter(|m| !m.facts.leaving && turn(m.node) < own);
+        let before = members.filter(|m| !m.facts.leaving && order(m.node) < own);
         u32::try_from(before.count()).unwrap_or(u32::MAX)
     }
 
     /// Begins to take a slot: its entry stands under a lease of its own.
-    fn ask_for_slot(&mut self, now: time::NodeTime, slot: u8, out: &mut Vec<effect::FleetEffect>) {
+    fn grant_slot_lease(
+        &mut self,
+        now: time::NodeTime,
+        slot: u8,
+        out: &mut Vec<effect::FleetEffect>,
+    ) {
         let lease = contact::CONTACT_LEASE;
-        let ask = store::StoreAsk::Grant { lease };
-        self.ask(
+        let request = store::StoreAsk::Grant { lease };
+        self.request_store(
             now,
             store_requests::RequestPurpose::GrantLease { slot },
-            ask,
+            request,
             out,
         );
     }
 
-    fn take_contact(
+    fn claim_slot(
         &mut self,
         now: time::NodeTime,
         slot: u8,
@@ -237,21 +253,21 @@
         let Some(value) = entry.to_value() else {
             return;
         };
-        let ask = store::StoreAsk::Swap {
+        let request = store::StoreAsk::Swap {
             key: keys::contact(&self.zone, slot),
             base,
             value,
             lease: Some(lease),
         };
-        self.ask(
+        self.request_store(
             now,
             store_requests::RequestPurpose::ClaimSlot { slot, lease },
-            ask,
+            request,
             out,
         );
     }
 
-    fn contact_taken(
+    fn on_slot_claimed(
         &mut self,
         now: time::NodeTime,
         slot: u8,
@@ -268,7 +284,7 @@
         self.contacts.lists = 0;
         self.contacts.list_at = now + self.contacts.list_interval();
         self.read_log_soon(now);
-        self.set_contact(now, Some(slot));
+        self.announce_slot(now, Some(slot));
         out.push(effect::FleetEffect::Report(effect::FleetReport::Contact {
             slot,
         }));
@@ -279,7 +295,7 @@
     /// Failure: something else wrote at the keys of contacts, under no lease. Symptom: every slot
     /// looks taken for good, so no newcomer finds the fleet. What can't be read names no node, and is
     /// replaced under the condition that it still stands there as it was seen.
-    fn contact_denied(
+    fn on_slot_conflict(
         &mut self,
         now: time::NodeTime,
         (slot, lease): (u8, store::LeaseId),
@@ -295,26 +311,26 @@
             Some(_) => {}
             None => {
                 let base = store::SwapBase::At(current.version);
-                self.take_contact(now, slot, lease, base, out);
+                self.claim_slot(now, slot, lease, base, out);
             }
         }
     }
 
     /// Stops acting as a contact and asks for the slot again: a paused holder learns here that its lease
     /// ran out and another node has the slot; where the store lost the lease, the slot is vacant.
-    fn contact_lapsed(&mut self, now: time::NodeTime, out: &mut Vec<effect::FleetEffect>) {
-        let lost = self.contacts.held.take();
-        self.set_contact(now, None);
+    fn on_lease_lapsed(&mut self, now: time::NodeTime, out: &mut Vec<effect::FleetEffect>) {
+        let former = self.contacts.held.take();
+        self.announce_slot(now, None);
         out.push(effect::FleetEffect::Report(
             effect::FleetReport::ContactLapsed,
         ));
-        if let Some(slot) = lost.map(|held| held.slot).filter(|_| !self.is_leaving()) {
-            self.ask_for_slot(now, slot, out);
+        if let Some(slot) = former.map(|held| held.slot).filter(|_| !self.is_leaving()) {
+            self.grant_slot_lease(now, slot, out);
         }
     }
 
     /// Looks at once whether the lease of a contact slot still runs; the store may have lost it.
-    pub(super) fn check_contact(&mut self, now: time::NodeTime) {
+    pub(super) fn renew_lease_soon(&mut self, now: time::NodeTime) {
         if let Some(held) = &mut self.contacts.held {
             held.renew_at = now;
         }
@@ -324,12 +340,12 @@
     ///
     /// Failure: the store comes back from an older copy, without leases. Symptom: until the contacts renew
     /// theirs, seconds later, whoever starts finds nobody. Those that watch see it at once.
-    pub(super) fn check_all_contacts(
+    pub(super) fn request_lease_checks(
         &mut self,
         now: time::NodeTime,
         out: &mut Vec<effect::FleetEffect>,
     ) {
-        self.check_contact(now);
+        self.renew_lease_soon(now);
         let members = self.table.all().iter();
         let holders = members
             .filter(|m| m.state.is_live() && m.node != self.local && m.facts.contact.is_some());
@@ -339,7 +355,7 @@
         }
     }
 
-    fn set_contact(&mut self, now: time::NodeTime, slot: Option<u8>) {
+    fn announce_slot(&mut self, now: time::NodeTime, slot: Option<u8>) {
         let Some(record) = self.table.get(self.local) else {
             return;
         };
--- a/crates/anvil_membership/src/fleet/counting.rs
+++ b/crates/anvil_membership/src/fleet/counting.rs
@@ -18,7 +18,7 @@
         if open.any(|open| open.requester == census::CensusRequester::Operator) {
             return out;
         }
-        let asked = gossip::CensusCount::default();
+        let count = gossip::CensusCount::default();
         let whole = (ident::NodeId(0), ident::NodeId(u64::MAX));
         let revision = self.revision();
         let requester = census::CensusRequester::Operator;
@@ -26,7 +26,7 @@
             now,
             requester,
             revision,
-            asked,
+            count,
             whole,
             census::TIMEOUT,
             &mut out,
@@ -59,13 +59,13 @@
                     to: from,
                     census: *census,
                 };
-                let wait = Duration::from_millis(u64::from(*wait_millis)).min(census::TIMEOUT);
+                let timeout = Duration::from_millis(u64::from(*wait_millis)).min(census::TIMEOUT);
                 let part = (*first, *last);
-                let asked = gossip::CensusCount::default();
-                self.begin_census(now, requester, *revision, asked, part, wait, out);
+                let count = gossip::CensusCount::default();
+                self.begin_census(now, requester, *revision, count, part, timeout, out);
             }
             gossip::CensusMessage::Reply { census, count } => {
-                self.on_part(now, *census, count, out);
+                self.on_part_reply(now, *census, count, out);
             }
         }
     }
@@ -77,13 +77,13 @@
         out: &mut Vec<effect::FleetEffect>,
     ) {
         self.retry_parts(now, out);
-        while let Some(place) = self
+        while let Some(index) = self
             .census
             .open
             .iter()
             .position(|open| open.deadline <= now)
         {
-            let mut open = self.census.open.remove(place);
+            let mut open = self.census.open.remove(index);
             open.count_missing_as_silent();
             self.end_census(now, open, out);
         }
@@ -97,7 +97,7 @@
         revision: ident::RuleRevision,
         mut count: gossip::CensusCount,
         part: (ident::NodeId, ident::NodeId),
-        wait: Duration,
+        timeout: Duration,
         out: &mut Vec<effect::FleetEffect>,
     ) {
         if self.census.open.len() >= census::OPEN_LIMIT {
@@ -114,26 +114,26 @@
         let members: Vec<_> = members.map(|m| m.node).collect();
         let size = members.len().div_ceil(census::PARTS).max(1);
         // No part spans this node, which would be counted once more by the part's counter.
-        let (before, behind) = members.split_at(members.partition_point(|n| *n < self.local));
-        let parts = before.chunks(size).chain(behind.chunks(size));
+        let (before, after) = members.split_at(members.partition_point(|n| *n < self.local));
+        let parts = before.chunks(size).chain(after.chunks(size));
         let parts = parts.map(|members| census::OpenPart {
             members: members.to_vec(),
             counter: self.local,
             answered: false,
         });
-        let part_timeout = wait * census::PART_TIMEOUT_SHARE / census::PART_TIMEOUT_WHOLE;
+        let part_timeout = timeout * census::PART_TIMEOUT_SHARE / census::PART_TIMEOUT_WHOLE;
         let mut open = census::OpenCensus {
             number: self.census.next_number,
             requester,
             revision,
             count,
             parts: parts.collect(),
-            retry_at: Some(now + wait / 2),
+            retry_at: Some(now + timeout / 2),
             part_timeout,
-            deadline: now + wait,
+            deadline: now + timeout,
         };
         self.census.next_number = open.number.wrapping_add(open.parts.len() as u32);
-        self.ask_parts(&mut open, out);
+        self.request_parts(&mut open, out);
         if open.is_complete() {
             self.end_census(now, open, out);
         } else {
@@ -145,35 +145,35 @@
     ///
     /// A counter may have crashed a moment ago; its whole part would count as silent with it.
     fn retry_parts(&mut self, now: time::NodeTime, out: &mut Vec<effect::FleetEffect>) {
-        let mut counts = std::mem::take(&mut self.census.open);
-        for open in &mut counts {
+        let mut open_counts = std::mem::take(&mut self.census.open);
+        for open in &mut open_counts {
             if open.retry_at.take_if(|due| *due <= now).is_some() {
-                self.ask_parts(open, out);
+                self.request_parts(open, out);
             }
         }
-        self.census.open = counts;
+        self.census.open = open_counts;
     }
 
     /// Asks one member of each missing part to count it, another one than before.
-    fn ask_parts(&mut self, open: &mut census::OpenCensus, out: &mut Vec<effect::FleetEffect>) {
-        for (place, part) in open
+    fn request_parts(&mut self, open: &mut census::OpenCensus, out: &mut Vec<effect::FleetEffect>) {
+        for (index, part) in open
             .parts
             .iter_mut()
             .enumerate()
             .filter(|(_, p)| !p.answered)
         {
             let former = part.counter;
-            let fresh = part.members.iter().filter(|node| **node != former);
-            let fresh: Vec<_> = fresh.copied().collect();
+            let candidates = part.members.iter().filter(|node| **node != former);
+            let candidates: Vec<_> = candidates.copied().collect();
             let (Some(first), Some(last)) = (part.members.first(), part.members.last()) else {
                 continue;
             };
-            let Some(counter) = fresh.get(self.choice.below(fresh.len())).copied() else {
+            let Some(counter) = candidates.get(self.choice.below(candidates.len())).copied() else {
                 continue;
             };
             part.counter = counter;
             let message = gossip::CensusMessage::Ask {
-                census: open.number.wrapping_add(place as u32),
+                census: open.number.wrapping_add(index as u32),
                 revision: open.revision,
                 first: *first,
                 last: *last,
@@ -185,26 +185,26 @@
         }
     }
 
-    fn on_part(
+    fn on_part_reply(
         &mut self,
         now: time::NodeTime,
         number: u32,
         count: &gossip::CensusCount,
         out: &mut Vec<effect::FleetEffect>,
     ) {
-        let place = self.census.open.iter().position(|open| {
+        let index = self.census.open.iter().position(|open| {
             let part = number.wrapping_sub(open.number) as usize;
             open.parts.get(part).is_some_and(|part| !part.answered)
         });
-        let Some(place) = place else {
+        let Some(index) = index else {
             return;
         };
-        let open = &mut self.census.open[place];
+        let open = &mut self.census.open[index];
         let part = number.wrapping_sub(open.number) as usize;
         open.parts[part].answered = true;
         open.add(count);
         if open.is_complete() {
-            let open = self.census.open.remove(place);
+            let open = self.census.open.remove(index);
             self.end_census(now, open, out);
         }
     }
--- a/crates/anvil_membership/src/fleet/newcomer.rs
+++ b/crates/anvil_membership/src/fleet/newcomer.rs
@@ -7,7 +7,7 @@
 
 impl fleet::FleetState {
     /// Begins without a comparison where nobody has answered for long enough.
-    pub(super) fn compare_when_due(&mut self, now: time::NodeTime) {
+    pub(super) fn end_comparison_when_due(&mut self, now: time::NodeTime) {
         if self.roster.next_wake().is_some_and(|due| due <= now) {
             self.roster.finish();
         }
@@ -16,16 +16,17 @@
     /// With whom a fresh node compares its members: any that is not known to be fresh too.
     ///
     /// Those that let it in are asked last: many nodes that start at once would all ask the same.
-    pub(super) fn compared_partner(&mut self) -> Option<ident::NodeId> {
+    pub(super) fn comparison_partner(&mut self) -> Option<ident::NodeId> {
         let mut except = self.roster.newcomers().to_vec();
         except.push(self.local);
         except.extend(&self.rules.ready_peers);
         if let Some(drawn) = self.table.draw_live(&mut self.choice, &except) {
             return Some(drawn.node);
         }
-        let heard = &self.rules.ready_peers;
-        let serves = |m: &crate::member::MemberRecord| m.state.is_live() && heard.contains(&m.node);
-        let drawn = self.table.draw(&mut self.choice, serves)?;
+        let ready_peers = &self.rules.ready_peers;
+        let is_ready =
+            |m: &crate::member::MemberRecord| m.state.is_live() && ready_peers.contains(&m.node);
+        let drawn = self.table.draw(&mut self.choice, is_ready)?;
         Some(drawn.node)
     }
 
@@ -39,7 +40,7 @@
     }
 
     /// Takes in that this node knows all that `head`'s sender knows.
-    pub(super) fn members_compared(
+    pub(super) fn on_members_compared(
         &mut self,
         now: time::NodeTime,
         head: gossip::GossipHead,
@@ -51,16 +52,16 @@
         if head.ready {
             self.roster.finish();
         } else {
-            self.compared_with_newcomer(now, head.from);
+            self.on_compared_with_newcomer(now, head.from);
         }
-        self.become_ready(now, out);
+        self.update_readiness(now, out);
     }
 
     /// Goes on to the next peer, or begins where all that answer are fresh themselves.
-    fn compared_with_newcomer(&mut self, now: time::NodeTime, peer: ident::NodeId) {
+    fn on_compared_with_newcomer(&mut self, now: time::NodeTime, peer: ident::NodeId) {
         self.roster.note_newcomer(peer, self.table.live());
-        let others_serve = !self.rules.ready_peers.is_empty();
-        if !others_serve && self.roster.newcomers().len() >= roster::NEWCOMERS_COMPARED {
+        let others_ready = !self.rules.ready_peers.is_empty();
+        if !others_ready && self.roster.newcomers().len() >= roster::NEWCOMERS_COMPARED {
             self.roster.finish();
         } else {
             self.timers.sync = now;
--- a/crates/anvil_membership/src/fleet/probing.rs
+++ b/crates/anvil_membership/src/fleet/probing.rs
@@ -21,7 +21,7 @@
             match action {
                 probe::ProbeAction::Ping { target, number } => self.ping(target, number, out),
                 probe::ProbeAction::PingIndirectly { target, number } => {
-                    self.ask_helpers(target, number, out);
+                    self.ping_indirectly(target, number, out);
                 }
                 probe::ProbeAction::Failed {
                     target,
@@ -30,7 +30,7 @@
                     self.probe_failed(now, target, helpers_silent, out);
                 }
                 probe::ProbeAction::Nack { requester, probe } => {
-                    self.answer_member(requester, gossip::GossipKind::Nack { probe }, out);
+                    self.send_to_member(requester, gossip::GossipKind::Nack { probe }, out);
                 }
                 probe::ProbeAction::NextPeriod => self.probe_next(now, out),
             }
@@ -53,13 +53,13 @@
         if self.table.tombstones() == 0 {
             return;
         }
-        let revisits = self.config.ping_left_members;
-        let gone = |m: &crate::member::MemberRecord| match m.state {
+        let ping_left = self.config.ping_left_members;
+        let departed = |m: &crate::member::MemberRecord| match m.state {
             member::MemberState::Gone => true,
-            member::MemberState::Left => revisits,
+            member::MemberState::Left => ping_left,
             member::MemberState::Alive | member::MemberState::Suspect => false,
         };
-        let Some(record) = self.table.draw(&mut self.choice, gone) else {
+        let Some(record) = self.table.draw(&mut self.choice, departed) else {
             return;
         };
         let target = record.node;
@@ -68,7 +68,7 @@
     }
 
     /// Notes what a message's head says about its sender.
-    pub(super) fn on_head(
+    pub(super) fn note_sender(
         &mut self,
         now: time::NodeTime,
         head: gossip::GossipHead,
@@ -88,7 +88,7 @@
     }
 
     /// Answers a datagram.
-    pub(super) fn on_kind(
+    pub(super) fn on_payload(
         &mut self,
         now: time::NodeTime,
         from: SocketAddr,
@@ -102,7 +102,7 @@
             gossip::GossipKind::Ack { probe, of } => self.on_ack(now, *probe, *of, out),
             gossip::GossipKind::Nack { probe } => self.probes.on_nack(*probe),
             gossip::GossipKind::PingRequest { probe, target } => {
-                self.help(now, sender, *probe, *target, out);
+                self.relay_ping(now, sender, *probe, *target, out);
             }
             gossip::GossipKind::Introduce => {
                 let updates = self.claim(self.local).into_iter().collect();
@@ -112,20 +112,20 @@
                 self.answer_pull(from, sender, *after, out);
             }
             gossip::GossipKind::Changes { changes } => {
-                self.take_changes(changes, out);
+                self.apply_changes(changes, out);
             }
-            gossip::GossipKind::CheckContact => self.check_contact(now),
+            gossip::GossipKind::CheckContact => self.renew_lease_soon(now),
             gossip::GossipKind::Census(message) => self.on_census(now, from, message, out),
             gossip::GossipKind::Welcome
             | gossip::GossipKind::Rumour
             | gossip::GossipKind::Quota(_)
             | gossip::GossipKind::Farewell(_) => {}
         }
-        self.greet_stranger(from, message, out);
+        self.request_introduction(from, message, out);
     }
 
     /// Asks a sender that is not in the table for its facts.
-    fn greet_stranger(
+    fn request_introduction(
         &mut self,
         from: SocketAddr,
         message: &gossip::GossipMessage,
@@ -138,16 +138,16 @@
     }
 
     fn welcome(&mut self, from: SocketAddr, out: &mut Vec<effect::FleetEffect>) {
-        let mut told = vec![self.local];
+        let mut chosen = vec![self.local];
         let mut bytes = 0;
-        while told.len() <= WELCOME_MEMBERS && bytes < self.config.piggyback_bytes {
-            let Some(peer) = self.table.draw_live(&mut self.choice, &told) else {
+        while chosen.len() <= WELCOME_MEMBERS && bytes < self.config.piggyback_bytes {
+            let Some(peer) = self.table.draw_live(&mut self.choice, &chosen) else {
                 break;
             };
             bytes += relay::claim_bytes(peer);
-            told.push(peer.node);
+            chosen.push(peer.node);
         }
-        let updates = told.into_iter().filter_map(|node| self.whole_claim(node));
+        let updates = chosen.into_iter().filter_map(|node| self.full_claim(node));
         let updates = updates.collect();
         self.send(from, gossip::GossipKind::Welcome, updates, out);
     }
@@ -174,17 +174,17 @@
         match self.probes.on_ack(probe, of) {
             probe::ProbeAnswer::Alive => self.health.improve(),
             probe::ProbeAnswer::Replaced { target } => {
-                self.end(now, target, effect::DepartureReason::Replaced, out);
+                self.mark_departed(now, target, effect::DepartureReason::Replaced, out);
             }
             probe::ProbeAnswer::Relay { requester, probe } => {
-                self.answer_member(requester, gossip::GossipKind::Ack { probe, of }, out);
+                self.send_to_member(requester, gossip::GossipKind::Ack { probe, of }, out);
             }
             probe::ProbeAnswer::Unmatched => {}
         }
     }
 
     /// Pings `target` for `asker`, where both are known.
-    fn help(
+    fn relay_ping(
         &mut self,
         now: time::NodeTime,
         requester: ident::NodeId,
@@ -193,8 +193,8 @@
         out: &mut Vec<effect::FleetEffect>,
     ) {
         // A nack must reach the asker before its period ends.
-        let patience = (self.config.probe_interval - self.config.indirect_after) * 3 / 5;
-        let nack_at = now + patience;
+        let nack_after = (self.config.probe_interval - self.config.indirect_after) * 3 / 5;
+        let nack_at = now + nack_after;
         if self.table.get(target).is_none() || self.table.get(requester).is_none() {
             return;
         }
@@ -233,11 +233,11 @@
             probe: number,
             to: target,
         };
-        self.answer_member(target, kind, out);
+        self.send_to_member(target, kind, out);
     }
 
     /// Sends `kind` to a known member, with the claims it should hear.
-    fn answer_member(
+    fn send_to_member(
         &mut self,
         node: ident::NodeId,
         kind: gossip::GossipKind,
@@ -253,33 +253,33 @@
     /// The claims for one receiver; one that is doubted hears so first, to refute at once.
     fn updates_for(&mut self, receiver: ident::NodeId) -> Vec<gossip::MemberUpdate> {
         let mut updates = self.take_updates(self.config.piggyback_bytes);
-        let doubted = |r: &&crate::member::MemberRecord| r.state != member::MemberState::Alive;
-        if self.table.get(receiver).filter(doubted).is_some() {
+        let not_alive = |r: &&crate::member::MemberRecord| r.state != member::MemberState::Alive;
+        if self.table.get(receiver).filter(not_alive).is_some() {
             updates.extend(self.claim(receiver));
         }
         updates
     }
 
-    fn ask_helpers(
+    fn ping_indirectly(
         &mut self,
         target: ident::NodeId,
         number: u32,
         out: &mut Vec<effect::FleetEffect>,
     ) {
-        let mut asked = vec![self.local, target];
+        let mut excluded = vec![self.local, target];
         for _ in 0..self.config.helpers {
-            let Some(helper) = self.table.draw_live(&mut self.choice, &asked) else {
+            let Some(helper) = self.table.draw_live(&mut self.choice, &excluded) else {
                 break;
             };
             let node = helper.node;
-            asked.push(node);
+            excluded.push(node);
             let kind = gossip::GossipKind::PingRequest {
                 probe: number,
                 target,
             };
-            self.answer_member(node, kind, out);
+            self.send_to_member(node, kind, out);
         }
-        self.probes.set_helpers(asked.len() - 2);
+        self.probes.set_helpers(excluded.len() - 2);
     }
 
     fn probe_failed(
--- a/crates/anvil_membership/src/fleet/proposing.rs
+++ b/crates/anvil_membership/src/fleet/proposing.rs
@@ -71,24 +71,24 @@
             .tail()
             .find(|c| c.revision == change.revision);
         if let Some(known) = known.cloned() {
-            self.settle(now, &known, out);
+            self.resolve_proposal(now, &known, out);
             return;
         }
         match (step, change.to_value()) {
             (proposal::ProposalStep::Write, Some(value)) => {
-                let ask = store::StoreAsk::Swap {
+                let request = store::StoreAsk::Swap {
                     key,
                     base: store::SwapBase::Absent,
                     value,
                     lease: None,
                 };
-                self.ask(now, store_requests::RequestPurpose::Propose, ask, out);
+                self.request_store(now, store_requests::RequestPurpose::Propose, request, out);
             }
             (proposal::ProposalStep::Write, None) => {
                 self.end_proposal(proposal::ProposalOutcome::Unavailable, out);
             }
             (proposal::ProposalStep::Read, _) => {
-                self.ask(
+                self.request_store(
                     now,
                     store_requests::RequestPurpose::Resolve,
                     store::StoreAsk::Get { key },
@@ -113,17 +113,17 @@
             store::StoreOutcome::Done(store::StoreReply::Swapped { .. }) => {
                 let own = self.rules.proposal.as_ref().map(|p| p.change.clone());
                 if let Some(own) = own {
-                    self.settle(now, &own, out);
+                    self.resolve_proposal(now, &own, out);
                 }
             }
             store::StoreOutcome::Done(store::StoreReply::Entry(None)) => {
-                self.next_step(now, proposal::ProposalStep::Write, out);
+                self.schedule_step(now, proposal::ProposalStep::Write, out);
             }
             store::StoreOutcome::Done(store::StoreReply::Entry(Some(entry)))
             | store::StoreOutcome::Conflict {
                 current: Some(entry),
             } => match gossip::LoggedChange::from_value(&entry.value) {
-                Some(found) => self.settle(now, &found, out),
+                Some(found) => self.resolve_proposal(now, &found, out),
                 None => self.end_proposal(proposal::ProposalOutcome::Unknown, out),
             },
             store::StoreOutcome::Unavailable => self.proposal_unavailable(now, out),
@@ -134,7 +134,7 @@
                 if let Some(open) = &mut self.rules.proposal {
                     open.uncertain = true;
                 }
-                self.next_step(now, proposal::ProposalStep::Read, out);
+                self.schedule_step(now, proposal::ProposalStep::Read, out);
             }
         }
     }
@@ -144,15 +144,15 @@
             return;
         };
         if open.uncertain {
-            self.next_step(now, proposal::ProposalStep::Read, out);
+            self.schedule_step(now, proposal::ProposalStep::Read, out);
         } else if open.backoff.failures() >= proposal::UNAVAILABLE_LIMIT {
             self.end_proposal(proposal::ProposalOutcome::Unavailable, out);
         } else {
-            self.next_step(now, proposal::ProposalStep::Write, out);
+            self.schedule_step(now, proposal::ProposalStep::Write, out);
         }
     }
 
-    fn next_step(
+    fn schedule_step(
         &mut self,
         now: time::NodeTime,
         step: proposal::ProposalStep,
@@ -163,12 +163,12 @@
             return;
         };
         if now >= open.deadline {
-            let end = if open.uncertain {
+            let outcome = if open.uncertain {
                 proposal::ProposalOutcome::Unknown
             } else {
                 proposal::ProposalOutcome::Unavailable
             };
-            self.end_proposal(end, out);
+            self.end_proposal(outcome, out);
             return;
         }
         let pause = open.backoff.next_pause(draw);
@@ -176,7 +176,7 @@
     }
 
     /// Compares what stands in the log with the own change.
-    fn settle(
+    fn resolve_proposal(
         &mut self,
         now: time::NodeTime,
         found: &gossip::LoggedChange,
@@ -186,13 +186,13 @@
             return;
         };
         let accepted = open.change.change == found.change;
-        let gap = self.take_changes(std::slice::from_ref(found), out);
+        let gap = self.apply_changes(std::slice::from_ref(found), out);
         if gap {
             self.read_log_soon(now);
         }
         if accepted {
             // The operator is told only once the change is on its way to others.
-            self.push_rumour(out);
+            self.send_rumour(out);
             self.end_proposal(proposal::ProposalOutcome::Accepted, out);
         } else {
             let other = found.clone();
--- a/crates/anvil_membership/src/fleet/rules.rs
+++ b/crates/anvil_membership/src/fleet/rules.rs
@@ -9,7 +9,7 @@
 use crate::{effect, fleet, keys, member, rule_log, spread, store_requests};
 
 /// Bytes of changes that go on a datagram; more go over TCP.
-const DATAGRAM_BYTES: usize = 900;
+const MAX_DATAGRAM_CHANGE_BYTES: usize = 900;
 
 impl fleet::FleetState {
     /// Whether work may be served: the revision held was compared with peers or with the store, and
@@ -59,7 +59,7 @@
         now: time::NodeTime,
         out: &mut Vec<effect::FleetEffect>,
     ) {
-        self.pull_again(now, out);
+        self.retry_pull(now, out);
         if self.config.store {
             self.read_when_due(now, out);
             self.watch_when_due(now, out);
@@ -68,25 +68,26 @@
             self.propose_when_due(now, out);
             self.snapshot_when_due(now, out);
         }
-        self.become_ready(now, out);
+        self.update_readiness(now, out);
     }
 
     /// When the rules have something due next.
-    pub(super) fn rules_next(&self) -> Option<time::NodeTime> {
+    pub(super) fn next_rules_wake(&self) -> Option<time::NodeTime> {
         let rules = &self.rules;
         let pull = rules.pull.map(|pull| pull.retry_at);
-        let waits = !rules.ready && !self.config.store && rules.log.held() >= rules.highest_seen;
-        let alone = waits.then_some(rules.standalone_at);
-        let watch = self.may_watch().then(|| self.watch_due());
-        let read = rules.read_at.filter(|_| !self.reads_rules());
+        let may_start_alone =
+            !rules.ready && !self.config.store && rules.log.held() >= rules.highest_seen;
+        let standalone = may_start_alone.then_some(rules.standalone_at);
+        let watch = self.may_watch().then(|| self.next_watch_at());
+        let read = rules.read_at.filter(|_| !self.is_reading_rules());
         let proposal = rules.proposal.as_ref().and_then(|p| p.next.map(|n| n.0));
         let snapshot = self.snapshot.next_wake();
-        let due = [pull, alone, watch, read, proposal, snapshot];
+        let due = [pull, standalone, watch, read, proposal, snapshot];
         due.into_iter().flatten().min()
     }
 
     /// Notes the revision in a message's head, and pulls where it is newer.
-    pub(super) fn hear_revision(
+    pub(super) fn on_revision(
         &mut self,
         now: time::NodeTime,
         from: SocketAddr,
@@ -95,8 +96,8 @@
     ) {
         let rules = &mut self.rules;
         rules.highest_seen = rules.highest_seen.max(head.revision);
-        let enough = rules.ready_peers.len() >= spread::PEERS_COMPARED;
-        if head.ready && !rules.ready && !enough && !rules.ready_peers.contains(&head.from) {
+        let list_full = rules.ready_peers.len() >= spread::PEERS_COMPARED;
+        if head.ready && !rules.ready && !list_full && !rules.ready_peers.contains(&head.from) {
             rules.ready_peers.push(head.from);
         }
         if head.revision > rules.log.held() {
@@ -107,11 +108,11 @@
         } else if head.ready && !rules.ready && rules.log.held() >= rules.highest_seen {
             self.read_log_soon(now);
         }
-        self.become_ready(now, out);
+        self.update_readiness(now, out);
     }
 
     /// Takes changes from a peer or from the store, in any order; tells whether some are missing.
-    pub(super) fn take_changes(
+    pub(super) fn apply_changes(
         &mut self,
         changes: &[gossip::LoggedChange],
         out: &mut Vec<effect::FleetEffect>,
@@ -134,7 +135,7 @@
     }
 
     /// Takes the whole rules where they are newer.
-    pub(super) fn take_snapshot(
+    pub(super) fn apply_snapshot(
         &mut self,
         snapshot: &gossip::LoggedChange,
         out: &mut Vec<effect::FleetEffect>,
@@ -163,7 +164,7 @@
         };
         changes.truncate(gossip::CHANGES_LIMIT);
         let bytes: usize = changes.iter().map(|change| change.body.len() + 32).sum();
-        if bytes <= DATAGRAM_BYTES {
+        if bytes <= MAX_DATAGRAM_CHANGE_BYTES {
             self.send(
                 from,
                 gossip::GossipKind::Changes { changes },
@@ -200,7 +201,7 @@
             more,
         }) = outcome
         else {
-            self.log_failed(now, purpose, outcome, out);
+            self.on_log_failure(now, purpose, outcome, out);
             return;
         };
         self.rules.backoff.reset();
@@ -211,14 +212,14 @@
         let gap = if self.config.document.is_some() {
             // The key holds whole rules, so none is missing before the newest.
             for snapshot in &changes {
-                self.take_snapshot(snapshot, out);
+                self.apply_snapshot(snapshot, out);
             }
             false
         } else {
-            self.take_changes(&changes, out)
+            self.apply_changes(&changes, out)
         };
         self.rules.watch_at = now;
-        self.look_later(now);
+        self.schedule_poll(now);
         if purpose == store_requests::RequestPurpose::WatchLog {
             self.rules.seen = self.rules.seen.max(*seen);
             if gap {
@@ -227,7 +228,7 @@
         } else if gap {
             // The log has been trimmed behind a snapshot.
             let key = store::StoreKey::new(keys::MANIFEST);
-            self.ask(
+            self.request_store(
                 now,
                 store_requests::RequestPurpose::ReadManifest,
                 store::StoreAsk::Get { key },
@@ -239,33 +240,37 @@
             self.rules.seen = self.rules.seen.max(*seen);
             self.rules.caught_up = true;
         }
-        self.become_ready(now, out);
+        self.update_readiness(now, out);
     }
 
     /// Whether a question about the log or a snapshot is out.
-    fn reads_rules(&self) -> bool {
+    fn is_reading_rules(&self) -> bool {
         let purposes = [
             store_requests::RequestPurpose::ReadLog,
             store_requests::RequestPurpose::ReadManifest,
             store_requests::RequestPurpose::ReadChunk,
         ];
-        purposes.iter().any(|purpose| self.asks.is_open(*purpose))
+        purposes
+            .iter()
+            .any(|purpose| self.requests.is_open(*purpose))
     }
 
     /// Whether this node waits at the store for the next change of the rules.
     pub fn watches_rules(&self) -> bool {
-        self.asks.is_open(store_requests::RequestPurpose::WatchLog) && self.rules.is_watcher
+        self.requests
+            .is_open(store_requests::RequestPurpose::WatchLog)
+            && self.rules.is_watcher
     }
 
     /// When the store is next asked for a change.
-    fn watch_due(&self) -> time::NodeTime {
+    fn next_watch_at(&self) -> time::NodeTime {
         let rules = &self.rules;
         if rules.is_watcher {
             rules.watch_at
         } else {
             let others = u32::try_from(self.table.live()).unwrap_or(u32::MAX);
-            let look_at = rules.polled_at + rules.poll_interval.saturating_mul(others);
-            rules.watch_at.max(look_at).max(rules.watcher_choice_at)
+            let poll_at = rules.polled_at + rules.poll_interval.saturating_mul(others);
+            rules.watch_at.max(poll_at).max(rules.watcher_choice_at)
         }
     }
 
@@ -289,7 +294,7 @@
     }
 
     /// Draws when a node that does not watch looks at the key next.
-    fn look_later(&mut self, now: time::NodeTime) {
+    fn schedule_poll(&mut self, now: time::NodeTime) {
         self.rules.polled_at = now;
         self.rules.poll_interval =
             spread::DOCUMENT_POLL_INTERVAL / 2 + self.choice.span(spread::DOCUMENT_POLL_INTERVAL);
@@ -299,10 +304,12 @@
         self.config.store
             && self.rules.caught_up
             && (self.config.document.is_some() || self.contacts.watches_log())
-            && !self.asks.is_open(store_requests::RequestPurpose::WatchLog)
+            && !self
+                .requests
+                .is_open(store_requests::RequestPurpose::WatchLog)
     }
 
-    fn log_failed(
+    fn on_log_failure(
         &mut self,
         now: time::NodeTime,
         purpose: store_requests::RequestPurpose,
@@ -317,7 +324,7 @@
             self.rules.read_at = Some(now);
             // The store may have come back from an older copy, whose order of writes begins anew.
             self.rules.seen = store::StoreVersion(0);
-            self.check_all_contacts(now, out);
+            self.request_lease_checks(now, out);
             return;
         }
         let pause = self.rules.backoff.next_pause(self.choice.any());
@@ -327,7 +334,7 @@
         }
         self.rules.store_failed = true;
         self.rules.read_at = Some(now + pause);
-        self.become_ready(now, out);
+        self.update_readiness(now, out);
     }
 
     fn after_adoption(&mut self) {
@@ -335,9 +342,9 @@
         // With one rumour of each, a node in fifty hears with the probes, seconds later, and more
         // where some of those told have just vanished.
         if self.config.document.is_some() {
-            self.pushing.request_change();
+            self.rumours.request_change();
         } else {
-            self.pushing.request();
+            self.rumours.request();
         }
         let held = self.revision();
         let rules = &mut self.rules;
@@ -370,7 +377,7 @@
     }
 
     /// Pulls again from a random member where the first one did not answer.
-    fn pull_again(&mut self, now: time::NodeTime, out: &mut Vec<effect::FleetEffect>) {
+    fn retry_pull(&mut self, now: time::NodeTime, out: &mut Vec<effect::FleetEffect>) {
         let Some(pull) = self.rules.pull.filter(|pull| pull.retry_at <= now) else {
             return;
         };
@@ -405,33 +412,33 @@
 
     fn read_when_due(&mut self, now: time::NodeTime, out: &mut Vec<effect::FleetEffect>) {
         let due = self.rules.read_at.is_some_and(|at| at <= now);
-        if !due || self.reads_rules() {
+        if !due || self.is_reading_rules() {
             return;
         }
         self.rules.read_at = None;
         let held = self.revision();
         if let Some(key) = self.config.document.clone() {
-            let ask = store::StoreAsk::List {
+            let request = store::StoreAsk::List {
                 prefix: key,
                 after: None,
                 limit: 1,
             };
-            self.ask(now, store_requests::RequestPurpose::ReadLog, ask, out);
+            self.request_store(now, store_requests::RequestPurpose::ReadLog, request, out);
             return;
         }
-        let ask = store::StoreAsk::List {
+        let request = store::StoreAsk::List {
             prefix: store::StoreKey::new(keys::LOG),
             after: (held.0 > 0).then(|| keys::log_entry(held)),
             limit: spread::READ_LIMIT,
         };
-        self.ask(now, store_requests::RequestPurpose::ReadLog, ask, out);
+        self.request_store(now, store_requests::RequestPurpose::ReadLog, request, out);
     }
 
     fn watch_when_due(&mut self, now: time::NodeTime, out: &mut Vec<effect::FleetEffect>) {
         if self.config.document.is_some() {
             self.choose_watchers(now);
         }
-        if !self.may_watch() || self.watch_due() > now {
+        if !self.may_watch() || self.next_watch_at() > now {
             return;
         }
         let (prefix, wait) = match &self.config.document {
@@ -439,16 +446,20 @@
             Some(key) => (key.clone(), spread::DOCUMENT_POLL_WAIT),
             None => (store::StoreKey::new(keys::LOG), spread::WATCH_WAIT),
         };
-        let ask = store::StoreAsk::Watch {
+        let request = store::StoreAsk::Watch {
             prefix,
             seen: self.rules.seen,
             wait,
         };
-        self.ask(now, store_requests::RequestPurpose::WatchLog, ask, out);
+        self.request_store(now, store_requests::RequestPurpose::WatchLog, request, out);
     }
 
-    pub(super) fn become_ready(&mut self, now: time::NodeTime, out: &mut Vec<effect::FleetEffect>) {
-        let compared = self.roster.is_compared() && self.has_compared(now);
+    pub(super) fn update_readiness(
+        &mut self,
+        now: time::NodeTime,
+        out: &mut Vec<effect::FleetEffect>,
+    ) {
+        let compared = self.roster.is_compared() && self.rules_compared(now);
         if self.rules.ready || !compared {
             return;
         }
@@ -460,10 +471,11 @@
         ));
     }
 
-    fn has_compared(&self, now: time::NodeTime) -> bool {
+    fn rules_compared(&self, now: time::NodeTime) -> bool {
         let rules = &self.rules;
-        let unwritten = rules.log.held() == ident::RuleRevision::default();
-        if rules.log.held() < rules.highest_seen || (self.config.document.is_some() && unwritten) {
+        let has_no_rules = rules.log.held() == ident::RuleRevision::default();
+        if rules.log.held() < rules.highest_seen || (self.config.document.is_some() && has_no_rules)
+        {
             return false;
         }
         if rules.caught_up {
@@ -471,10 +483,10 @@
         }
         let others = self.table.live().saturating_sub(1);
         let wanted = others.clamp(1, spread::PEERS_COMPARED);
-        let heard_enough = rules.ready_peers.len() >= wanted;
+        let enough_ready_peers = rules.ready_peers.len() >= wanted;
         if self.config.store && self.config.document.is_none() {
-            return rules.store_failed && heard_enough;
+            return rules.store_failed && enough_ready_peers;
         }
-        heard_enough || (!self.config.store && now >= rules.standalone_at)
+        enough_ready_peers || (!self.config.store && now >= rules.standalone_at)
     }
 }
--- a/crates/anvil_membership/src/fleet/sending.rs
+++ b/crates/anvil_membership/src/fleet/sending.rs
@@ -27,14 +27,14 @@
 
     /// Lets the present claim about `node` ride on datagrams and on the next rumour.
     pub(super) fn relay(&mut self, node: ident::NodeId) {
-        let ends = |r: &member::MemberRecord| !r.state.is_live() || r.facts.leaving;
-        let urgent = self.table.get(node).is_some_and(ends);
+        let is_urgent = |r: &member::MemberRecord| !r.state.is_live() || r.facts.leaving;
+        let urgent = self.table.get(node).is_some_and(is_urgent);
         self.relay_claim(node, urgent);
     }
 
     /// The same, ahead of others where it is `urgent`: ends, leavings and refutations.
     pub(super) fn relay_claim(&mut self, node: ident::NodeId, urgent: bool) {
-        if !self.repeating && node != self.local {
+        if !self.relaying && node != self.local {
             return;
         }
         let doublings = self.table.live().max(1).ilog2() + 1;
@@ -42,27 +42,31 @@
         let relays = u8::try_from(relays).unwrap_or(u8::MAX);
         self.relays.push(&mut self.table, node, relays, urgent);
         if urgent {
-            self.pushing.request_urgent();
+            self.rumours.request_urgent();
         } else {
-            self.pushing.request();
+            self.rumours.request();
         }
     }
 
     /// Sends a rumour where something changed and the budget allows one.
-    pub(super) fn push_now(&mut self, now: time::NodeTime, out: &mut Vec<effect::FleetEffect>) {
-        if self.pushing.try_take(&self.config, now) {
-            self.push_rumour(out);
+    pub(super) fn send_rumour_if_due(
+        &mut self,
+        now: time::NodeTime,
+        out: &mut Vec<effect::FleetEffect>,
+    ) {
+        if self.rumours.try_take(&self.config, now) {
+            self.send_rumour(out);
         }
     }
 
-    pub(super) fn push_rumour(&mut self, out: &mut Vec<effect::FleetEffect>) {
+    pub(super) fn send_rumour(&mut self, out: &mut Vec<effect::FleetEffect>) {
         let updates = self.take_updates(self.config.rumour_bytes);
-        let mut told = vec![self.local];
+        let mut chosen = vec![self.local];
         for _ in 0..self.config.fanout {
-            let Some(peer) = self.table.draw_live(&mut self.choice, &told) else {
+            let Some(peer) = self.table.draw_live(&mut self.choice, &chosen) else {
                 break;
             };
-            told.push(peer.node);
+            chosen.push(peer.node);
             let to = peer.facts.udp;
             let kind = gossip::GossipKind::Rumour;
             self.send(to, kind, updates.clone(), out);
--- a/crates/anvil_membership/src/fleet/snapshots.rs
+++ b/crates/anvil_membership/src/fleet/snapshots.rs
@@ -145,7 +145,7 @@
             change: load.manifest.change,
             body: Bytes::from(load.body),
         };
-        self.take_snapshot(&snapshot, out);
+        self.apply_snapshot(&snapshot, out);
         self.rules.read_at = Some(now);
     }
 
@@ -155,7 +155,7 @@
         };
         let manifest = load.manifest;
         let key = keys::chunk(manifest.revision, manifest.writer, load.next);
-        self.ask(
+        self.request_store(
             now,
             store_requests::RequestPurpose::ReadChunk,
             store::StoreAsk::Get { key },
@@ -172,17 +172,17 @@
 
     /// Sets the revision of the next snapshot; random, so that seldom two nodes write the same.
     fn schedule_snapshot(&mut self) {
-        let spread = self.choice.below(spread::SNAPSHOT_EVERY as usize / 2) as u64;
+        let jitter = self.choice.below(spread::SNAPSHOT_EVERY as usize / 2) as u64;
         let held = self.revision().0;
         self.snapshot.next_revision =
-            ident::RuleRevision(held.saturating_add(spread::SNAPSHOT_EVERY + spread));
+            ident::RuleRevision(held.saturating_add(spread::SNAPSHOT_EVERY + jitter));
     }
 
     fn snapshot_step(&mut self, now: time::NodeTime, out: &mut Vec<effect::FleetEffect>) {
         let Some(open) = &self.snapshot.open else {
             return;
         };
-        let ask = match &open.step {
+        let request = match &open.step {
             snapshot::SnapshotStep::Check => store::StoreAsk::Get {
                 key: store::StoreKey::new(keys::MANIFEST),
             },
@@ -191,25 +191,25 @@
                 out.push(effect::FleetEffect::EncodeSnapshot { destination });
                 return;
             }
-            snapshot::SnapshotStep::Chunk { next } => match chunk_ask(open, *next) {
-                Some(ask) => ask,
+            snapshot::SnapshotStep::Chunk { next } => match chunk_request(open, *next) {
+                Some(request) => request,
                 None => return,
             },
-            snapshot::SnapshotStep::Publish => match publish_ask(open) {
-                Some(ask) => ask,
+            snapshot::SnapshotStep::Publish => match publish_request(open) {
+                Some(request) => request,
                 None => return,
             },
-            snapshot::SnapshotStep::ListLog => list_ask(keys::LOG, None, TRIM_LIMIT),
+            snapshot::SnapshotStep::ListLog => list_request(keys::LOG, None, TRIM_LIMIT),
             // One at a time, since each brings its whole value.
             snapshot::SnapshotStep::ListChunks { after } => {
-                list_ask(keys::SNAPSHOTS, after.clone(), 1)
+                list_request(keys::SNAPSHOTS, after.clone(), 1)
             }
             snapshot::SnapshotStep::Remove { entry, version, .. } => store::StoreAsk::Remove {
                 key: entry.clone(),
                 version: *version,
             },
         };
-        self.ask(now, store_requests::RequestPurpose::Snapshot, ask, out);
+        self.request_store(now, store_requests::RequestPurpose::Snapshot, request, out);
     }
 
     /// The write with its next step; none where it is done with.
@@ -270,7 +270,7 @@
     }
 }
 
-fn chunk_ask(open: &snapshot::SnapshotWrite, next: u32) -> Option<store::StoreAsk> {
+fn chunk_request(open: &snapshot::SnapshotWrite, next: u32) -> Option<store::StoreAsk> {
     let manifest = open.manifest?;
     let start = next as usize * spread::CHUNK_BYTES;
     let end = (start + spread::CHUNK_BYTES).min(open.body.len());
@@ -282,7 +282,7 @@
     })
 }
 
-fn publish_ask(open: &snapshot::SnapshotWrite) -> Option<store::StoreAsk> {
+fn publish_request(open: &snapshot::SnapshotWrite) -> Option<store::StoreAsk> {
     Some(store::StoreAsk::Swap {
         key: store::StoreKey::new(keys::MANIFEST),
         base: open.base,
@@ -291,7 +291,7 @@
     })
 }
 
-fn list_ask(prefix: &str, after: Option<store::StoreKey>, limit: u32) -> store::StoreAsk {
+fn list_request(prefix: &str, after: Option<store::StoreKey>, limit: u32) -> store::StoreAsk {
     store::StoreAsk::List {
         prefix: store::StoreKey::new(prefix),
         after,
@@ -304,19 +304,19 @@
     open: &snapshot::SnapshotWrite,
     entries: &[store::StoreEntry],
 ) -> snapshot::SnapshotStep {
-    let sweep = snapshot::SnapshotStep::ListChunks { after: None };
+    let list_chunks = snapshot::SnapshotStep::ListChunks { after: None };
     let Some(manifest) = open.manifest else {
-        return sweep;
+        return list_chunks;
     };
-    let kept_from = manifest
+    let retained_from = manifest
         .revision
         .0
         .saturating_sub(spread::RETAINED_LOG_CHANGES);
-    let limit = keys::log_entry(ident::RuleRevision(kept_from));
+    let limit = keys::log_entry(ident::RuleRevision(retained_from));
     let old = entries.iter().filter(|entry| entry.key < limit);
     let old: Vec<_> = old.map(|e| (e.key.clone(), e.version)).collect();
     let then = if old.len() < TRIM_LIMIT as usize {
-        sweep
+        list_chunks
     } else {
         snapshot::SnapshotStep::ListLog
     };
--- a/crates/anvil_membership/src/fleet/store_access.rs
+++ b/crates/anvil_membership/src/fleet/store_access.rs
@@ -17,33 +17,37 @@
             return out;
         }
         self.note_pause(now, &mut out);
-        if let Some(purpose) = self.asks.close(id) {
-            self.answered(now, purpose, outcome, &mut out);
+        if let Some(purpose) = self.requests.close(id) {
+            self.on_request_outcome(now, purpose, outcome, &mut out);
         }
-        self.push_now(now, &mut out);
+        self.send_rumour_if_due(now, &mut out);
         out
     }
 
     /// Asks the store, unless the same is being asked already.
-    pub(super) fn ask(
+    pub(super) fn request_store(
         &mut self,
         now: time::NodeTime,
         purpose: store_requests::RequestPurpose,
         request: store::StoreAsk,
         out: &mut Vec<effect::FleetEffect>,
     ) {
-        if self.asks.is_open(purpose) {
+        if self.requests.is_open(purpose) {
             return;
         }
         self.counters.count_request(purpose);
-        let id = self.asks.open(purpose, now);
+        let id = self.requests.open(purpose, now);
         out.push(effect::FleetEffect::SendStoreRequest { id, request });
     }
 
     /// Gives up the questions whose answers never came.
-    pub(super) fn lose_asks(&mut self, now: time::NodeTime, out: &mut Vec<effect::FleetEffect>) {
-        for purpose in self.asks.take_timed_out(now) {
-            self.answered(now, purpose, store::StoreOutcome::Unknown, out);
+    pub(super) fn expire_requests(
+        &mut self,
+        now: time::NodeTime,
+        out: &mut Vec<effect::FleetEffect>,
+    ) {
+        for purpose in self.requests.take_timed_out(now) {
+            self.on_request_outcome(now, purpose, store::StoreOutcome::Unknown, out);
         }
     }
 
@@ -53,7 +57,7 @@
         record.is_none_or(|r| r.facts.leaving || r.state != member::MemberState::Alive)
     }
 
-    fn answered(
+    fn on_request_outcome(
         &mut self,
         now: time::NodeTime,
         purpose: store_requests::RequestPurpose,
--- a/crates/anvil_membership/src/fleet/syncing.rs
+++ b/crates/anvil_membership/src/fleet/syncing.rs
@@ -12,19 +12,19 @@
 const JOIN_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Ends between two exchanges that count as a storm.
-const STORM_ENDS: u32 = 16;
+const MASS_DEPARTURE_COUNT: u32 = 16;
 
 /// Quiet time behind the last end of a storm before digests are compared.
-const STORM_QUIET: Duration = Duration::from_secs(4);
+const MASS_DEPARTURE_QUIET_PERIOD: Duration = Duration::from_secs(4);
 
 /// Claims of one bulk message that are still repeated by datagrams.
 ///
 /// A few may be news to everybody; many are old news that only the receiver missed, and repeating
 /// them would flood a healthy fleet each time somebody joins.
-const REPEAT_LIMIT: usize = 32;
+const RELAY_LIMIT: usize = 32;
 
 /// Below this size a node takes the whole fleet instead of comparing digests.
-const NEWCOMER_MEMBERS: usize = 10;
+const FULL_SYNC_MEMBERS: usize = 10;
 
 /// The members that a peer knows alive, in the buckets in which the two differ.
 struct PeerHeaders<'a> {
@@ -55,10 +55,10 @@
         }
         self.note_pause(now, &mut out);
         self.counters.syncs_received += 1;
-        self.on_head(now, message.head(), &mut out);
+        self.note_sender(now, message.head(), &mut out);
         let sender = self.table.get(peer).map(|m| m.facts.udp);
         if let Some(from) = sender {
-            self.hear_revision(now, from, message.head(), &mut out);
+            self.on_revision(now, from, message.head(), &mut out);
         }
         match message {
             gossip::SyncMessage::Digest { head, sums, sender } => {
@@ -73,13 +73,13 @@
                 differing,
                 headers,
             } => {
-                let told = PeerHeaders {
+                let received = PeerHeaders {
                     head: *head,
                     buckets: *buckets,
                     differing,
                     headers,
                 };
-                self.on_headers(now, &told, &mut out);
+                self.on_headers(now, &received, &mut out);
             }
             gossip::SyncMessage::Members {
                 head,
@@ -87,26 +87,26 @@
                 wanted,
                 last,
             } => {
-                let told = PeerClaims {
+                let received = PeerClaims {
                     head: *head,
                     updates,
                     wanted,
                 };
-                self.on_members(now, &told, &mut out);
+                self.on_members(now, &received, &mut out);
                 if *last {
-                    self.members_compared(now, *head, &mut out);
+                    self.on_members_compared(now, *head, &mut out);
                 }
             }
             gossip::SyncMessage::Changes {
                 snapshot, changes, ..
             } => {
                 if let Some(snapshot) = snapshot {
-                    self.take_snapshot(snapshot, &mut out);
+                    self.apply_snapshot(snapshot, &mut out);
                 }
-                self.take_changes(changes, &mut out);
+                self.apply_changes(changes, &mut out);
             }
         }
-        self.push_now(now, &mut out);
+        self.send_rumour_if_due(now, &mut out);
         out
     }
 
@@ -146,17 +146,17 @@
         now: time::NodeTime,
         out: &mut Vec<effect::FleetEffect>,
     ) {
-        let storm = self.timers.storm_sync.take_if(|due| *due <= now);
-        if now < self.timers.sync && storm.is_none() {
+        let after_departures = self.timers.mass_departure_sync.take_if(|due| *due <= now);
+        if now < self.timers.sync && after_departures.is_none() {
             return;
         }
-        self.recent_ends = 0;
-        self.timers.storm_sync = None;
-        let newcomer = self.table.live() <= NEWCOMER_MEMBERS;
+        self.recent_departures = 0;
+        self.timers.mass_departure_sync = None;
+        let full_sync = self.table.live() <= FULL_SYNC_MEMBERS;
         // A node that starts among many that start has only the part that its first peer knew.
-        let hasty = newcomer || self.early_syncs > 0;
+        let frequent = full_sync || self.early_syncs > 0;
         let compared = self.roster.is_compared();
-        let interval = match (compared, hasty) {
+        let interval = match (compared, frequent) {
             (false, _) => roster::COMPARE_RETRY_INTERVAL,
             (true, true) => self.config.sync_interval / 10,
             (true, false) => self.config.sync_interval,
@@ -165,7 +165,7 @@
         let partner = if compared {
             self.sync_partner()
         } else {
-            self.compared_partner()
+            self.comparison_partner()
         };
         let Some(peer) = partner else {
             return;
@@ -173,7 +173,7 @@
         if compared {
             self.early_syncs = self.early_syncs.saturating_sub(1);
         }
-        let sums = if newcomer {
+        let sums = if full_sync {
             Vec::new()
         } else {
             digest::sums(&self.table, digest::bucket_count(self.table.live()))
@@ -191,7 +191,7 @@
     /// distances around the sorted identities are `log2(n)` and seldom change, and news still
     /// crosses the fleet in as many steps.
     fn sync_partner(&mut self) -> Option<ident::NodeId> {
-        if self.early_syncs > 0 || self.table.live() <= NEWCOMER_MEMBERS {
+        if self.early_syncs > 0 || self.table.live() <= FULL_SYNC_MEMBERS {
             let drawn = self.table.draw_live(&mut self.choice, &[self.local])?;
             return Some(drawn.node);
         }
@@ -206,11 +206,12 @@
     ///
     /// In a zone's loss each claim has less room on the datagrams, so here and there a node misses
     /// one and would send work to a target that is gone until the next regular exchange.
-    pub(super) fn note_end(&mut self, now: time::NodeTime) {
-        self.recent_ends += 1;
-        if self.recent_ends >= STORM_ENDS {
-            let pause = STORM_QUIET + self.choice.span(STORM_QUIET / 2);
-            self.timers.storm_sync = Some(now + pause);
+    pub(super) fn note_departure(&mut self, now: time::NodeTime) {
+        self.recent_departures += 1;
+        if self.recent_departures >= MASS_DEPARTURE_COUNT {
+            let pause =
+                MASS_DEPARTURE_QUIET_PERIOD + self.choice.span(MASS_DEPARTURE_QUIET_PERIOD / 2);
+            self.timers.mass_departure_sync = Some(now + pause);
         }
     }
 
@@ -239,7 +240,7 @@
     ) {
         let peer = head.from;
         if sums.is_empty() {
-            self.send_everything(peer, out);
+            self.send_all_live(peer, out);
             return;
         }
         if !digest::is_bucket_count(sums.len()) {
@@ -248,7 +249,7 @@
         let own = digest::sums(&self.table, sums.len());
         let pairs = own.iter().zip(sums).enumerate();
         let differing = pairs.filter(|(_, (own, theirs))| own != theirs);
-        let differing: Vec<u32> = differing.map(|(place, _)| place as u32).collect();
+        let differing: Vec<u32> = differing.map(|(index, _)| index as u32).collect();
         // A newcomer waits to hear that it knows all.
         if differing.is_empty() && head.ready {
             return;
@@ -263,7 +264,7 @@
         self.send_sync(peer, message, out);
     }
 
-    fn send_everything(&mut self, peer: ident::NodeId, out: &mut Vec<effect::FleetEffect>) {
+    fn send_all_live(&mut self, peer: ident::NodeId, out: &mut Vec<effect::FleetEffect>) {
         let live = self.table.all().iter().filter(|m| m.state.is_live());
         let live: Vec<_> = live.map(|m| m.node).collect();
         self.send_claims(peer, &live, Vec::new(), true, out);
@@ -272,21 +273,21 @@
     fn on_headers(
         &mut self,
         now: time::NodeTime,
-        told: &PeerHeaders<'_>,
+        received: &PeerHeaders<'_>,
         out: &mut Vec<effect::FleetEffect>,
     ) {
-        let buckets = told.buckets as usize;
+        let buckets = received.buckets as usize;
         if !digest::is_bucket_count(buckets) {
             return;
         }
-        let mut theirs = told.headers.to_vec();
+        let mut theirs = received.headers.to_vec();
         theirs.sort_unstable_by_key(|header| header.node);
-        let own = digest::headers(&self.table, buckets, told.differing);
-        let mut telling: Vec<_> = own
+        let own = digest::headers(&self.table, buckets, received.differing);
+        let mut to_send: Vec<_> = own
             .iter()
             .filter(|own| {
-                let place = theirs.binary_search_by_key(&own.node, |header| header.node);
-                place.is_err()
+                let index = theirs.binary_search_by_key(&own.node, |header| header.node);
+                index.is_err()
             })
             .map(|own| own.node)
             .collect();
@@ -296,35 +297,35 @@
             match self.table.get(header.node) {
                 None => wanted.push(header.node),
                 Some(record) if record.rank() < theirs => wanted.push(header.node),
-                Some(record) if record.rank() > theirs => telling.push(header.node),
+                Some(record) if record.rank() > theirs => to_send.push(header.node),
                 Some(_) => {}
             }
         }
         if wanted.is_empty() {
-            self.members_compared(now, told.head, out);
+            self.on_members_compared(now, received.head, out);
         }
-        if telling.is_empty() && wanted.is_empty() {
+        if to_send.is_empty() && wanted.is_empty() {
             return;
         }
-        self.send_claims(told.head.from, &telling, wanted, true, out);
+        self.send_claims(received.head.from, &to_send, wanted, true, out);
     }
 
     fn on_members(
         &mut self,
         now: time::NodeTime,
-        told: &PeerClaims<'_>,
+        received: &PeerClaims<'_>,
         out: &mut Vec<effect::FleetEffect>,
     ) {
-        self.repeating = told.updates.len() <= REPEAT_LIMIT;
-        for update in told.updates {
+        self.relaying = received.updates.len() <= RELAY_LIMIT;
+        for update in received.updates {
             self.apply(now, update, out);
         }
-        self.repeating = true;
-        let mut telling = self.ended_since(told.updates);
-        telling.extend(told.wanted);
-        if !telling.is_empty() {
-            let last = !told.wanted.is_empty();
-            self.send_claims(told.head.from, &telling, Vec::new(), last, out);
+        self.relaying = true;
+        let mut to_send = self.departed_since(received.updates);
+        to_send.extend(received.wanted);
+        if !to_send.is_empty() {
+            let last = !received.wanted.is_empty();
+            self.send_claims(received.head.from, &to_send, Vec::new(), last, out);
         }
     }
 
@@ -332,14 +333,14 @@
     ///
     /// Ended members stand in no digest and no header, so the peer learns of the end only if its
     /// claim is answered; it would otherwise send work there until its own probe fails.
-    fn ended_since(&self, updates: &[gossip::MemberUpdate]) -> Vec<ident::NodeId> {
-        let ended = updates.iter().filter(|update| {
+    fn departed_since(&self, updates: &[gossip::MemberUpdate]) -> Vec<ident::NodeId> {
+        let departed = updates.iter().filter(|update| {
             let claimed = (update.incarnation, member::claimed_state(&update.standing));
             let known = self.table.get(update.node);
             known.is_some_and(|record| !record.state.is_live() && record.rank() > claimed)
         });
         let claimed_alive =
-            ended.filter(|update| member::claimed_state(&update.standing).is_live());
+            departed.filter(|update| member::claimed_state(&update.standing).is_live());
         claimed_alive.map(|update| update.node).collect()
     }
 
@@ -362,7 +363,7 @@
                 head: self.head(),
                 updates: part
                     .iter()
-                    .filter_map(|node| self.whole_claim(*node))
+                    .filter_map(|node| self.full_claim(*node))
                     .collect(),
                 wanted: wanted.take().unwrap_or_default(),
                 last: last && parts.peek().is_none(),
--- a/crates/anvil_membership/src/names.rs
+++ b/crates/anvil_membership/src/names.rs
@@ -27,10 +27,10 @@
     /// hold 42,000 strings, and a peer could make them arbitrarily many.
     pub fn intern(&mut self, name: &Name) -> Option<Name> {
         match self.names.binary_search(name) {
-            Ok(place) => Some(self.names[place].clone()),
+            Ok(index) => Some(self.names[index].clone()),
             Err(_) if self.names.len() >= NAMES_LIMIT => None,
-            Err(place) => {
-                self.names.insert(place, name.clone());
+            Err(index) => {
+                self.names.insert(index, name.clone());
                 Some(name.clone())
             }
         }
--- a/crates/anvil_membership/src/probe.rs
+++ b/crates/anvil_membership/src/probe.rs
@@ -98,7 +98,7 @@
     last_number: u32,
     open: Option<OpenProbe>,
     relayed: Vec<RelayedProbe>,
-    order: Vec<ident::NodeId>,
+    round: Vec<ident::NodeId>,
     next_period_at: time::NodeTime,
 }
 
@@ -109,7 +109,7 @@
             last_number: 0,
             open: None,
             relayed: Vec::new(),
-            order: Vec::new(),
+            round: Vec::new(),
             next_period_at,
         }
     }
@@ -132,11 +132,11 @@
     where
         Refill: FnOnce() -> Vec<ident::NodeId>,
     {
-        if self.order.is_empty() {
-            self.order = refill();
-            choice.shuffle(&mut self.order);
+        if self.round.is_empty() {
+            self.round = refill();
+            choice.shuffle(&mut self.round);
         }
-        self.order.pop()
+        self.round.pop()
     }
 
     /// Puts a newcomer at a random place of the round.
@@ -144,13 +144,13 @@
     /// A round of a large fleet lasts hours; a newcomer that waited for the next one would crash
     /// unnoticed.
     pub fn insert(&mut self, node: ident::NodeId, choice: &mut random::ChoiceSource) {
-        if self.order.is_empty() {
+        if self.round.is_empty() {
             return;
         }
-        self.order.push(node);
-        let last = self.order.len() - 1;
-        let place = choice.below(self.order.len());
-        self.order.swap(last, place);
+        self.round.push(node);
+        let last = self.round.len() - 1;
+        let index = choice.below(self.round.len());
+        self.round.swap(last, index);
     }
 
     /// Opens a probe of `target` and gives its number.
@@ -208,10 +208,10 @@
                 false => ProbeAnswer::Replaced { target },
             };
         }
-        let Some(place) = self.relayed.iter().position(|r| r.number == probe) else {
+        let Some(index) = self.relayed.iter().position(|r| r.number == probe) else {
             return ProbeAnswer::Unmatched;
         };
-        let relayed = self.relayed.swap_remove(place);
+        let relayed = self.relayed.swap_remove(index);
         ProbeAnswer::Relay {
             requester: relayed.requester,
             probe: relayed.requester_probe,
@@ -285,13 +285,18 @@
     }
 
     fn overdue_relays(&mut self, now: time::NodeTime) -> Vec<ProbeAction> {
-        let late = |relayed: &RelayedProbe| relayed.nack_at <= now;
+        let overdue = |relayed: &RelayedProbe| relayed.nack_at <= now;
         let nack = |relayed: &RelayedProbe| ProbeAction::Nack {
             requester: relayed.requester,
             probe: relayed.requester_probe,
         };
-        let actions = self.relayed.iter().filter(|r| late(r)).map(nack).collect();
-        self.relayed.retain(|relayed| !late(relayed));
+        let actions = self
+            .relayed
+            .iter()
+            .filter(|r| overdue(r))
+            .map(nack)
+            .collect();
+        self.relayed.retain(|relayed| !overdue(relayed));
         actions
     }
 }
--- a/crates/anvil_membership/src/relay.rs
+++ b/crates/anvil_membership/src/relay.rs
@@ -17,7 +17,7 @@
 
 /// A place in the queue; stale where the member was queued again since.
 #[derive(Clone, Copy, Debug)]
-struct RelayPlace {
+struct RelayEntry {
     node: ident::NodeId,
     serial: u32,
 }
@@ -30,9 +30,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct RelayQueue {
     /// Places by the number of datagrams that carried the claim.
-    levels: Vec<VecDeque<RelayPlace>>,
-    places: usize,
-    serials: u32,
+    levels: Vec<VecDeque<RelayEntry>>,
+    entries: usize,
+    last_serial: u32,
 }
 
 impl RelayQueue {
@@ -48,87 +48,87 @@
         let Some(record) = table.get_mut(node) else {
             return;
         };
-        self.serials = self.serials.wrapping_add(1);
-        let serial = self.serials;
+        self.last_serial = self.last_serial.wrapping_add(1);
+        let serial = self.last_serial;
         record.relays = relays;
         record.relay_serial = serial;
-        let place = RelayPlace { node, serial };
+        let entry = RelayEntry { node, serial };
         if urgent && !self.levels.is_empty() {
-            self.levels[0].push_front(place);
-            self.places += 1;
+            self.levels[0].push_front(entry);
+            self.entries += 1;
         } else {
-            self.put(0, place);
+            self.enqueue(0, entry);
         }
         // Without the sweep, claims that replace one another fast would let the queue outgrow the
         // table.
-        if self.places > 2 * table.all().len() + STALE_LIMIT {
-            self.sweep(table);
+        if self.entries > 2 * table.all().len() + STALE_LIMIT {
+            self.remove_stale(table);
         }
     }
 
     /// Takes the identities whose claims go on one datagram of at most `bytes` of updates.
     pub fn take(&mut self, table: &mut table::MemberTable, bytes: usize) -> Vec<ident::NodeId> {
         let mut taken = Vec::new();
-        let mut left = bytes;
-        let mut told = Vec::new();
+        let mut remaining_bytes = bytes;
+        let mut requeued = Vec::new();
         for level in 0..self.levels.len() {
-            while let Some(place) = self.levels[level].pop_front() {
-                self.places -= 1;
-                if !is_current(table, place) {
+            while let Some(entry) = self.levels[level].pop_front() {
+                self.entries -= 1;
+                if !is_current(table, entry) {
                     continue;
                 }
-                let Some(record) = table.get_mut(place.node) else {
+                let Some(record) = table.get_mut(entry.node) else {
                     continue;
                 };
                 let size = claim_bytes(record);
-                if size > left {
-                    self.levels[level].push_front(place);
-                    self.places += 1;
+                if size > remaining_bytes {
+                    self.levels[level].push_front(entry);
+                    self.entries += 1;
                     break;
                 }
-                left -= size;
-                taken.push(place.node);
+                remaining_bytes -= size;
+                taken.push(entry.node);
                 record.relays -= 1;
                 if record.relays > 0 {
-                    told.push((level + 1, place));
+                    requeued.push((level + 1, entry));
                 }
             }
         }
-        for (level, place) in told {
-            self.put(level, place);
+        for (level, entry) in requeued {
+            self.enqueue(level, entry);
         }
         taken
     }
 
-    fn put(&mut self, level: usize, place: RelayPlace) {
+    fn enqueue(&mut self, level: usize, entry: RelayEntry) {
         if level >= self.levels.len() {
             self.levels.resize_with(level + 1, VecDeque::new);
         }
-        self.levels[level].push_back(place);
-        self.places += 1;
+        self.levels[level].push_back(entry);
+        self.entries += 1;
     }
 
-    fn sweep(&mut self, table: &table::MemberTable) {
+    fn remove_stale(&mut self, table: &table::MemberTable) {
         for level in &mut self.levels {
-            level.retain(|place| is_current(table, *place));
+            level.retain(|entry| is_current(table, *entry));
         }
-        self.places = self.levels.iter().map(VecDeque::len).sum();
+        self.entries = self.levels.iter().map(VecDeque::len).sum();
     }
 
     /// Members that wait.
     pub fn len(&self) -> usize {
-        self.places
+        self.entries
     }
 
     /// Whether nothing waits.
     pub fn is_empty(&self) -> bool {
-        self.places == 0
+        self.entries == 0
     }
 }
 
-fn is_current(table: &table::MemberTable, place: RelayPlace) -> bool {
-    let record = table.get(place.node);
-    record.is_some_and(|r| r.relay_serial == place.serial && r.relays > 0)
+fn is_current(table: &table::MemberTable, entry: RelayEntry) -> bool {
+    let record = table.get(entry.node);
+    record.is_some_and(|r| r.relay_serial == entry.serial && r.relays > 0)
 }
 
 /// Upper bound of the encoded claim about `record`, in bytes.
--- a/crates/anvil_membership/src/roster.rs
+++ b/crates/anvil_membership/src/roster.rs
@@ -32,7 +32,7 @@
     newcomers: Vec<ident::NodeId>,
     /// Members known at the last comparison with one of these.
     known: usize,
-    begin_at: Option<time::NodeTime>,
+    deadline: Option<time::NodeTime>,
 }
 
 impl RosterCheck {
@@ -42,7 +42,7 @@
             compared: alone,
             newcomers: Vec::new(),
             known: 0,
-            begin_at: None,
+            deadline: None,
         }
     }
 
@@ -58,7 +58,7 @@
 
     /// Notes the first sign of others, from which the wait for them is counted.
     pub fn expect_others(&mut self, now: time::NodeTime) {
-        self.begin_at.get_or_insert(now + COMPARE_TIMEOUT);
+        self.deadline.get_or_insert(now + COMPARE_TIMEOUT);
     }
 
     /// Notes that the store names nobody, which it also does for a moment when it has lost the entries.
@@ -66,14 +66,14 @@
     /// Failure: the store comes back from an older copy and a node starts. Symptom: it finds nobody and
     /// serves by the older rules that stand there, which its peers have left behind.
     pub fn expect_empty_list(&mut self, now: time::NodeTime) {
-        self.begin_at.get_or_insert(now + EMPTY_LIST_TIMEOUT);
+        self.deadline.get_or_insert(now + EMPTY_LIST_TIMEOUT);
     }
 
     /// Notes that nothing is missing, or that nobody is there to tell.
     pub fn finish(&mut self) {
         self.compared = true;
         self.newcomers.clear();
-        self.begin_at = None;
+        self.deadline = None;
     }
 
     /// Notes a comparison with a peer that does not know the fleet either, after which `known` members
@@ -93,6 +93,6 @@
 
     /// When the wait is over.
     pub fn next_wake(&self) -> Option<time::NodeTime> {
-        self.begin_at.filter(|_| !self.compared)
+        self.deadline.filter(|_| !self.compared)
     }
 }
--- a/crates/anvil_membership/src/rumour_budget.rs
+++ b/crates/anvil_membership/src/rumour_budget.rs
@@ -7,10 +7,10 @@
 use crate::config;
 
 /// Shortest time between two rumours of changed rules that go beside the budget.
-const CHANGE_GAP: Duration = Duration::from_millis(250);
+const CHANGE_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Rumours kept for ends and leavings; a storm of joins may not use them up.
-const URGENT_TOKENS: u32 = 2;
+const RESERVED_TOKENS: u32 = 2;
 
 /// Whether a rumour is wanted, and how many may go.
 ///
@@ -19,32 +19,32 @@
 /// no budget rides on the next rumour or on the probes.
 #[derive(Clone, Debug)]
 pub struct RumourBudget {
-    wanted: u8,
+    requested: u8,
     urgent: bool,
-    change: bool,
-    change_next: time::NodeTime,
+    change_requested: bool,
+    next_change_at: time::NodeTime,
     tokens: u32,
-    earned: time::NodeTime,
-    next: time::NodeTime,
+    refilled_at: time::NodeTime,
+    next_refill_at: time::NodeTime,
 }
 
 impl RumourBudget {
     /// Starts with a full budget.
     pub fn new(config: &config::FleetConfig, now: time::NodeTime) -> Self {
         Self {
-            wanted: 0,
+            requested: 0,
             urgent: false,
-            change: false,
-            change_next: now,
+            change_requested: false,
+            next_change_at: now,
             tokens: config.rumour_burst,
-            earned: now,
-            next: now,
+            refilled_at: now,
+            next_refill_at: now,
         }
     }
 
     /// Wants a rumour.
     pub fn request(&mut self) {
-        self.wanted = self.wanted.max(1);
+        self.requested = self.requested.max(1);
     }
 
     /// Wants two rumours, one behind the other.
@@ -53,7 +53,7 @@
     /// the probes, seconds later. An end or a leaving must not wait for that: work would go to a
     /// target that refuses it. Two rumours miss one in three thousand.
     pub fn request_urgent(&mut self) {
-        self.wanted = 2;
+        self.requested = 2;
         self.urgent = true;
     }
 
@@ -62,47 +62,47 @@
     /// Failure: members vanish, and the news of it uses the budget up while operators change a rule.
     /// Symptom: requests are treated by the old rules for a second longer at each node on the way.
     pub fn request_change(&mut self) {
-        self.change = true;
+        self.change_requested = true;
         self.request();
     }
 
     /// Whether a rumour goes now.
     pub fn try_take(&mut self, config: &config::FleetConfig, now: time::NodeTime) -> bool {
-        self.earn(config, now);
-        if self.change && now >= self.change_next {
-            self.change = false;
-            self.change_next = now + CHANGE_GAP;
+        self.refill(config, now);
+        if self.change_requested && now >= self.next_change_at {
+            self.change_requested = false;
+            self.next_change_at = now + CHANGE_INTERVAL;
             return true;
         }
-        let kept = if self.urgent { 0 } else { URGENT_TOKENS };
-        if self.wanted == 0 || self.tokens <= kept {
+        let reserved = if self.urgent { 0 } else { RESERVED_TOKENS };
+        if self.requested == 0 || self.tokens <= reserved {
             return false;
         }
-        self.wanted -= 1;
-        self.urgent &= self.wanted > 0;
+        self.requested -= 1;
+        self.urgent &= self.requested > 0;
         self.tokens -= 1;
         true
     }
 
     /// When a wanted rumour may go that found no budget.
     pub fn next_wake(&self) -> Option<time::NodeTime> {
-        let change = self.change.then_some(self.change_next);
-        let others = (self.wanted > 0).then_some(self.next);
+        let change = self.change_requested.then_some(self.next_change_at);
+        let others = (self.requested > 0).then_some(self.next_refill_at);
         change.into_iter().chain(others).min()
     }
 
-    fn earn(&mut self, config: &config::FleetConfig, now: time::NodeTime) {
+    fn refill(&mut self, config: &config::FleetConfig, now: time::NodeTime) {
         let micros = config.rumour_interval.as_micros().max(1);
-        let count = now.since(self.earned).as_micros() / micros;
+        let count = now.since(self.refilled_at).as_micros() / micros;
         let missing = u128::from(config.rumour_burst - self.tokens);
         if count >= missing {
             self.tokens = config.rumour_burst;
-            self.earned = now;
+            self.refilled_at = now;
         } else {
             self.tokens += u32::try_from(count).unwrap_or(0);
             let step = config.rumour_interval * u32::try_from(count).unwrap_or(0);
-            self.earned = self.earned + step;
+            self.refilled_at = self.refilled_at + step;
         }
-        self.next = self.earned + config.rumour_interval;
+        self.next_refill_at = self.refilled_at + config.rumour_interval;
     }
 }
--- a/crates/anvil_membership/src/store_requests.rs
+++ b/crates/anvil_membership/src/store_requests.rs
@@ -5,7 +5,7 @@
 use anvil_types::{store, time};
 
 /// Time after which an unanswered question counts as lost; longer than the longest watch.
-const ANSWER_LIMIT: Duration = Duration::from_secs(60);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// What a question is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -81,7 +81,7 @@
 struct PendingRequest {
     sequence: u64,
     purpose: RequestPurpose,
-    lost_at: time::NodeTime,
+    times_out_at: time::NodeTime,
 }
 
 /// The questions that are out, sorted by number.
@@ -99,7 +99,7 @@
         self.open.push(PendingRequest {
             sequence,
             purpose,
-            lost_at: now + ANSWER_LIMIT,
+            times_out_at: now + REQUEST_TIMEOUT,
         });
         store::StoreId {
             part: store::StorePart::Fleet,
@@ -109,28 +109,32 @@
 
     /// Whether a question for `purpose` is out.
     pub fn is_open(&self, purpose: RequestPurpose) -> bool {
-        self.open.iter().any(|ask| ask.purpose == purpose)
+        self.open.iter().any(|request| request.purpose == purpose)
     }
 
     /// Takes the question that an answer belongs to.
     pub fn close(&mut self, id: store::StoreId) -> Option<RequestPurpose> {
-        let place = self
+        let index = self
             .open
-            .binary_search_by_key(&id.sequence, |ask| ask.sequence);
-        place.ok().map(|place| self.open.remove(place).purpose)
+            .binary_search_by_key(&id.sequence, |request| request.sequence);
+        index.ok().map(|index| self.open.remove(index).purpose)
     }
 
     /// Takes the questions whose answers are overdue; the edge may have dropped them.
     pub fn take_timed_out(&mut self, now: time::NodeTime) -> Vec<RequestPurpose> {
-        let lost = |ask: &&PendingRequest| ask.lost_at <= now;
-        let purposes = self.open.iter().filter(lost).map(|ask| ask.purpose);
+        let timed_out = |request: &&PendingRequest| request.times_out_at <= now;
+        let purposes = self
+            .open
+            .iter()
+            .filter(timed_out)
+            .map(|request| request.purpose);
         let purposes = purposes.collect();
-        self.open.retain(|ask| ask.lost_at > now);
+        self.open.retain(|request| request.times_out_at > now);
         purposes
     }
 
     /// When the next answer is overdue.
     pub fn next_timeout(&self) -> Option<time::NodeTime> {
-        self.open.iter().map(|ask| ask.lost_at).min()
+        self.open.iter().map(|request| request.times_out_at).min()
     }
 }
--- a/crates/anvil_membership/src/suspicion.rs
+++ b/crates/anvil_membership/src/suspicion.rs
@@ -10,10 +10,10 @@
 const CONFIRMATIONS: usize = 2;
 
 /// Suspicions that a node only heard of last this many times the ceiling.
-const HEARSAY_FACTOR: u32 = 2;
+const SECONDHAND_FACTOR: u32 = 2;
 
 /// Members that a node asks again at the same time.
-const ASKED_LIMIT: usize = 8;
+const PINGED_LIMIT: usize = 8;
 
 /// Fleets below this size hold too few independent accusers to wait for.
 const SMALL_FLEET: usize = 5;
@@ -46,7 +46,7 @@
 
     fn span(&self, config: &config::FleetConfig, live: usize) -> Duration {
         if !self.is_accuser {
-            return config.suspicion_ceiling * HEARSAY_FACTOR;
+            return config.suspicion_ceiling * SECONDHAND_FACTOR;
         }
         if live < SMALL_FLEET {
             return config.suspicion_floor;
@@ -86,8 +86,8 @@
         by: ident::NodeId,
         now: time::NodeTime,
     ) -> Accusation {
-        match self.place(node) {
-            Err(place) => {
+        match self.search(node) {
+            Err(index) => {
                 let accusers = vec![by];
                 let since = now;
                 let entry = Suspicion {
@@ -97,11 +97,11 @@
                     is_accuser: false,
                     ping_at: None,
                 };
-                self.list.insert(place, entry);
+                self.list.insert(index, entry);
                 Accusation::First
             }
-            Ok(place) => {
-                let accusers = &mut self.list[place].accusers;
+            Ok(index) => {
+                let accusers = &mut self.list[index].accusers;
                 if accusers.len() > CONFIRMATIONS || accusers.contains(&by) {
                     return Accusation::Known;
                 }
@@ -113,9 +113,9 @@
 
     /// Lets this node ask `node` again from `now` on, being an accuser.
     pub fn ping_as_accuser(&mut self, node: ident::NodeId, now: time::NodeTime) {
-        if let Ok(place) = self.place(node) {
-            self.list[place].is_accuser = true;
-            self.list[place].ping_at.get_or_insert(now);
+        if let Ok(index) = self.search(node) {
+            self.list[index].is_accuser = true;
+            self.list[index].ping_at.get_or_insert(now);
         }
     }
 
@@ -124,12 +124,12 @@
     /// A refutation that was lost on the way to this node alone would otherwise let it end a live
     /// member. Few are asked at once, so that a region's loss is no storm of pings.
     pub fn ping_unresolved(&mut self, ceiling: Duration, now: time::NodeTime) {
-        let mut asking = self.list.iter().filter(|s| s.ping_at.is_some()).count();
+        let mut pinged = self.list.iter().filter(|s| s.ping_at.is_some()).count();
         for entry in &mut self.list {
             let late = entry.ping_at.is_none() && entry.since + ceiling <= now;
-            if late && asking < ASKED_LIMIT {
+            if late && pinged < PINGED_LIMIT {
                 entry.ping_at = Some(now);
-                asking += 1;
+                pinged += 1;
             }
         }
     }
@@ -140,26 +140,26 @@
         interval: Duration,
         now: time::NodeTime,
     ) -> Vec<ident::NodeId> {
-        let mut asks = Vec::new();
+        let mut due = Vec::new();
         for entry in &mut self.list {
             if entry.ping_at.is_some_and(|at| at <= now) {
                 entry.ping_at = Some(now + interval);
-                asks.push(entry.node);
+                due.push(entry.node);
             }
         }
-        asks
+        due
     }
 
     /// Drops the accusation of `node`.
     pub fn clear(&mut self, node: ident::NodeId) {
-        if let Ok(place) = self.place(node) {
-            self.list.remove(place);
+        if let Ok(index) = self.search(node) {
+            self.list.remove(index);
         }
     }
 
     /// The accusation of `node`, where there is one.
     pub fn get(&self, node: ident::NodeId) -> Option<&Suspicion> {
-        self.place(node).ok().map(|place| &self.list[place])
+        self.search(node).ok().map(|index| &self.list[index])
     }
 
     /// All accusations, sorted by identity.
@@ -186,7 +186,7 @@
     ) -> Option<time::NodeTime> {
         let wakes = |s: &Suspicion| {
             let deadline = s.deadline(config, live);
-            s.ping_at.map_or(deadline, |ask| ask.min(deadline))
+            s.ping_at.map_or(deadline, |ping| ping.min(deadline))
         };
         self.list.iter().map(wakes).min()
     }
@@ -201,7 +201,7 @@
         }
     }
 
-    fn place(&self, node: ident::NodeId) -> Result<usize, usize> {
+    fn search(&self, node: ident::NodeId) -> Result<usize, usize> {
         self.list.binary_search_by_key(&node, |s| s.node)
     }
 }
--- a/crates/anvil_membership/src/table.rs
+++ b/crates/anvil_membership/src/table.rs
@@ -19,13 +19,13 @@
 impl MemberTable {
     /// The member of that identity, where it is known.
     pub fn get(&self, node: ident::NodeId) -> Option<&member::MemberRecord> {
-        self.place(node).ok().map(|place| &self.members[place])
+        self.search(node).ok().map(|index| &self.members[index])
     }
 
     /// The member of that identity, for changes that keep its state.
     pub fn get_mut(&mut self, node: ident::NodeId) -> Option<&mut member::MemberRecord> {
-        let place = self.place(node).ok()?;
-        Some(&mut self.members[place])
+        let index = self.search(node).ok()?;
+        Some(&mut self.members[index])
     }
 
     /// All members, sorted by identity.
@@ -54,17 +54,17 @@
     ///
     /// Fails, keeping nothing, where the names don't fit; see [`names::NAMES_LIMIT`].
     pub fn put(&mut self, mut record: member::MemberRecord) -> bool {
-        let Some(facts) = self.interned(&record.facts) else {
+        let Some(facts) = self.intern_facts(&record.facts) else {
             return false;
         };
         record.facts = facts;
         self.live += usize::from(record.state.is_live());
-        match self.place(record.node) {
-            Ok(place) => {
-                self.live -= usize::from(self.members[place].state.is_live());
-                self.members[place] = record;
+        match self.search(record.node) {
+            Ok(index) => {
+                self.live -= usize::from(self.members[index].state.is_live());
+                self.members[index] = record;
             }
-            Err(place) => self.members.insert(place, record),
+            Err(index) => self.members.insert(index, record),
         }
         true
     }
@@ -76,10 +76,10 @@
         rank: (u32, member::MemberState),
         now: time::NodeTime,
     ) {
-        let Ok(place) = self.place(node) else {
+        let Ok(index) = self.search(node) else {
             return;
         };
-        let record = &mut self.members[place];
+        let record = &mut self.members[index];
         self.live -= usize::from(record.state.is_live());
         self.live += usize::from(rank.1.is_live());
         if record.state != rank.1 {
@@ -99,10 +99,10 @@
             return;
         }
         let dead = self.members.iter().filter(|m| !m.state.is_live());
-        let mut ages: Vec<_> = dead.map(|m| (m.since, m.node)).collect();
-        ages.sort_unstable();
-        ages.truncate(excess);
-        let mut nodes: Vec<_> = ages.into_iter().map(|(_, node)| node).collect();
+        let mut oldest: Vec<_> = dead.map(|m| (m.since, m.node)).collect();
+        oldest.sort_unstable();
+        oldest.truncate(excess);
+        let mut nodes: Vec<_> = oldest.into_iter().map(|(_, node)| node).collect();
         nodes.sort_unstable();
         self.members
             .retain(|m| nodes.binary_search(&m.node).is_err());
@@ -133,33 +133,33 @@
     pub fn draw<Accept>(
         &self,
         choice: &mut random::ChoiceSource,
-        wanted: Accept,
+        accept: Accept,
     ) -> Option<&member::MemberRecord>
     where
         Accept: Fn(&member::MemberRecord) -> bool,
     {
         for _ in 0..DRAWS {
             let record = self.members.get(choice.below(self.members.len()))?;
-            if wanted(record) {
+            if accept(record) {
                 return Some(record);
             }
         }
         let start = choice.below(self.members.len());
         let (head, tail) = self.members.split_at(start);
-        tail.iter().chain(head).find(|record| wanted(record))
+        tail.iter().chain(head).find(|record| accept(record))
     }
 
-    fn place(&self, node: ident::NodeId) -> Result<usize, usize> {
+    fn search(&self, node: ident::NodeId) -> Result<usize, usize> {
         self.members.binary_search_by_key(&node, |m| m.node)
     }
 
-    fn interned(&mut self, facts: &gossip::MemberFacts) -> Option<gossip::MemberFacts> {
-        let mut kept = facts.clone();
-        kept.zone = self.names.zones.intern(&facts.zone)?;
-        kept.region = self.names.regions.intern(&facts.region)?;
+    fn intern_facts(&mut self, facts: &gossip::MemberFacts) -> Option<gossip::MemberFacts> {
+        let mut interned = facts.clone();
+        interned.zone = self.names.zones.intern(&facts.zone)?;
+        interned.region = self.names.regions.intern(&facts.region)?;
         if let Some(service) = &facts.service {
-            kept.service = Some(self.names.services.intern(service)?);
+            interned.service = Some(self.names.services.intern(service)?);
         }
-        Some(kept)
+        Some(interned)
     }
 }
