--- a/crates/anvil_membership/src/census.rs
+++ b/crates/anvil_membership/src/census.rs
@@ -1,8 +1,8 @@
-//! Counting on how many members a revision is in force, without asking each from one node.
+//! Counts on how many members a rule revision is in force, as a tree of requests.
 //!
-//! The sorted identities are cut into parts; one member of each part counts it the same way. With
-//! sixteen parts a question reaches 14,000 members in four steps, and no node handles more than
-//! sixteen replies. See `docs/design/rule-distribution.md`.
+//! The sorted node ids are split into parts, and one member of each part counts that part in the
+//! same way. With sixteen parts a request reaches 14,000 members in four steps, and no node
+//! handles more than sixteen replies. See `docs/design/rule-distribution.md`.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,65 +10,67 @@
 use anvil_types::{ident, time};
 use anvil_wire::gossip;
 
-/// Parts that a node cuts its own part into.
+/// Number of parts that a node splits its own part into.
 pub const PARTS: usize = 16;
 
-/// Time that the asking node waits for the whole count.
+/// Time that the node at the root of the tree waits for the complete count.
 pub const TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Share of the asker's time that its parts get, so that a part whose counter is silent can be
-/// given to another member once.
+/// Numerator of the share of a node's own timeout that it gives its parts.
+///
+/// Less than half, so that a part whose counter does not reply can be retried once through another
+/// member.
 pub const PART_TIMEOUT_SHARE: u32 = 4;
 
-/// Out of this many.
+/// Denominator of the share of a node's own timeout that it gives its parts.
 pub const PART_TIMEOUT_WHOLE: u32 = 10;
 
-/// Counts that are open at once; further questions are not taken.
+/// Number of counts that may be open at once; further requests are dropped.
 pub const OPEN_LIMIT: usize = 32;
 
-/// Who asked for a count.
+/// Who requested a count.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CensusRequester {
-    /// An operator of this node.
+    /// An operator, through this node.
     Operator,
     /// A member that counts a larger part.
     Member {
-        /// Where the reply goes.
+        /// The address to reply to.
         to: SocketAddr,
-        /// The asker's number of the question.
+        /// The requester's number for this part.
         census: u32,
     },
 }
 
-/// A part that was asked for.
+/// A part whose count was requested.
 #[derive(Clone, Debug)]
 pub struct OpenPart {
-    /// The members in it, as this node knows them.
+    /// The members of the part that this node knows.
     pub members: Vec<ident::NodeId>,
-    /// The one that counts it.
+    /// The member that counts the part.
     pub counter: ident::NodeId,
-    /// Whether the reply has come.
+    /// Whether the reply has arrived.
     pub answered: bool,
 }
 
-/// One count that waits for its parts.
+/// A count that waits for replies of its parts.
 #[derive(Clone, Debug)]
 pub struct OpenCensus {
-    /// This node's number of the question.
+    /// The number of the first part; the others follow it.
     pub number: u32,
-    /// Who asked.
+    /// Who requested the count.
     pub requester: CensusRequester,
-    /// The revision asked about.
+    /// The revision that is counted.
     pub revision: ident::RuleRevision,
-    /// What has been counted.
+    /// The sum of the replies so far and of this node itself.
     pub count: gossip::CensusCount,
     /// The parts, numbered from `number` on.
     pub parts: Vec<OpenPart>,
-    /// When missing parts are given to other members; none once that is done.
+    /// When parts without a reply are requested from other members; none once that is done.
     pub retry_at: Option<time::NodeTime>,
-    /// Time that a part gets.
+    /// Time that a part has to reply.
     pub part_timeout: Duration,
-    /// When parts that are missing count as silent.
+    /// When the members of parts without a reply are counted as silent.
     pub deadline: time::NodeTime,
 }
 
@@ -78,7 +80,7 @@
         self.parts.iter().all(|part| part.answered)
     }
 
-    /// Adds what one part counted.
+    /// Adds the reply of one part.
     pub fn add(&mut self, count: &gossip::CensusCount) {
         let sum = &mut self.count;
         sum.holding = sum.holding.saturating_add(count.holding);
@@ -89,7 +91,7 @@
         }
     }
 
-    /// Counts the parts that never replied as silent.
+    /// Counts the members of parts without a reply as silent.
     pub fn count_missing_as_silent(&mut self) {
         let parts = std::mem::take(&mut self.parts);
         for node in parts
@@ -103,37 +105,37 @@
     }
 }
 
-/// Names a lagging member where there is room.
+/// Adds a lagging member to the list of `count`, unless the list is full.
 pub fn note_lagging(count: &mut gossip::CensusCount, node: ident::NodeId) {
     if count.lagging.len() < gossip::LAGGING_LIMIT {
         count.lagging.push(node);
     }
 }
 
-/// The last whole count that an operator asked for.
+/// The result of the last complete count that an operator requested.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CensusResult {
-    /// The revision asked about.
+    /// The revision that was counted.
     pub revision: ident::RuleRevision,
-    /// The sum over the fleet, this node included.
+    /// The sum over the fleet, including this node.
     pub count: gossip::CensusCount,
-    /// When it ended.
+    /// When the count ended.
     pub at: time::NodeTime,
 }
 
-/// All counts of one node.
+/// All counts of one node, open and completed.
 #[derive(Clone, Debug, Default)]
 pub struct CensusState {
-    /// Counts that wait for parts, sorted by number.
+    /// Counts that wait for replies, sorted by number.
     pub open: Vec<OpenCensus>,
     /// The last result.
     pub last: Option<CensusResult>,
-    /// Numbers used so far.
+    /// The number of the next part that is requested.
     pub next_number: u32,
 }
 
 impl CensusState {
-    /// When the next count gives up.
+    /// When the next retry or deadline is due.
     pub fn next_wake(&self) -> Option<time::NodeTime> {
         let due = |open: &OpenCensus| open.retry_at.unwrap_or(open.deadline).min(open.deadline);
         self.open.iter().map(due).min()
--- a/crates/anvil_membership/src/config.rs
+++ b/crates/anvil_membership/src/config.rs
@@ -1,5 +1,4 @@
-//! The constants of membership, in one place, with the figures behind them in
-//! `docs/design/membership.md`.
+//! The settings of membership; `docs/design/membership.md` derives their defaults.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,73 +7,75 @@
 
 use crate::contact;
 
-/// Time between two pings of members believed gone in a fleet of hundreds of nodes at most: each
-/// node sends one datagram, so an address that came back is met within a second or so.
+/// Interval of pings to departed members in a fleet of at most a few hundred nodes.
+///
+/// Each node sends one datagram per interval, so a restarted node at a known address is found
+/// within about a second.
 pub const SMALL_RECONNECT_INTERVAL: Duration = Duration::from_millis(700);
 
-/// How long such a fleet remembers a member that is gone; machines that are away longer find the
-/// fleet by the store when they return.
+/// Time that such a fleet remembers a departed member; machines that are away for longer find the
+/// fleet through the store when they return.
 pub const SMALL_TOMBSTONE_SPAN: Duration = Duration::from_secs(60);
 
-/// Settings of one node's membership.
+/// The membership settings of one node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FleetConfig {
-    /// Datagram addresses of nodes to join through without the store; may be empty.
+    /// Datagram addresses of nodes to join through without a store; may be empty.
     pub seeds: Vec<SocketAddr>,
-    /// Whether the settings name a store; without one, rules live in the nodes' memory only.
+    /// Whether a store is configured; without one, rules are held in the nodes' memory only.
     pub store: bool,
-    /// The key at which operators keep the whole rules, where they write them there themselves;
-    /// otherwise the rules are the log of the changes that nodes accepted.
+    /// The key of the rule document, if operators write the complete rules to the store
+    /// themselves; otherwise the rules are the log of the changes that nodes accepted.
     pub document: Option<store::StoreKey>,
-    /// Time between two probes.
+    /// Interval of probes.
     pub probe_interval: Duration,
-    /// Time after which an unanswered ping is sent once more.
+    /// Time after which a ping without an ack is sent again.
     pub resend_after: Duration,
-    /// Time after which helpers are asked to ping.
+    /// Time after which indirect pings are requested from helpers.
     pub indirect_after: Duration,
-    /// Helpers asked.
+    /// Number of helpers that are sent a ping request.
     pub helpers: usize,
-    /// Shortest time that a suspect has to refute, with enough independent accusers.
+    /// Time that a suspect has to refute if there are enough independent accusers.
     pub suspicion_floor: Duration,
-    /// Time that a suspect has to refute a single accuser.
+    /// Time that a suspect has to refute if there is a single accuser.
     pub suspicion_ceiling: Duration,
-    /// Time between two pings of an accuser to the accused.
+    /// Interval at which an accuser pings a suspect.
     pub suspect_ping_interval: Duration,
-    /// Datagrams that carry an update, for each doubling of the fleet.
+    /// Number of datagrams that carry an update, per doubling of the fleet size.
     pub relay_factor: u8,
-    /// Bytes of updates on a probe's datagram.
+    /// Maximum size of the updates on a probe datagram, in bytes.
     pub piggyback_bytes: usize,
-    /// Bytes of updates on a rumour.
+    /// Maximum size of the updates on a rumour, in bytes.
     pub rumour_bytes: usize,
-    /// Members that get a rumour.
+    /// Number of members that a rumour is sent to.
     pub fanout: usize,
-    /// Time in which one more rumour is earned.
+    /// Time after which the rumour budget gains one token.
     pub rumour_interval: Duration,
-    /// Rumours that may follow one another at once.
+    /// Maximum number of tokens in the rumour budget.
     pub rumour_burst: u32,
-    /// Time between two exchanges of digests.
+    /// Interval of digest exchanges.
     pub sync_interval: Duration,
-    /// Time between two pings of members believed gone, to find a healed partition.
+    /// Interval of pings to departed members, which detect that a partition has healed.
     pub reconnect_interval: Duration,
     /// Whether the addresses of members that left are pinged too.
     ///
-    /// Failure: a node restarts while the store is away. Symptom: it finds nobody, and nobody looks
-    /// for it, since the node that it was has left; it refuses everything until the store is back.
-    /// Its peers know the address, and whoever answers there is met.
+    /// A node that restarts while the store is unavailable finds no peers, and peers do not contact
+    /// it because its previous instance left, so it refuses all requests until the store is back.
+    /// With these pings, peers find the new node at the address of the previous one.
     pub ping_left_members: bool,
-    /// Age of a list of contacts beyond which a node that met nobody reads it again before it tries
-    /// for a slot.
+    /// Maximum age of the contact list by which a node without peers may claim a slot; with an
+    /// older one it lists the contacts again first.
     pub max_list_age: Duration,
-    /// How long a member that is gone is remembered.
+    /// Time that a departed member is remembered.
     pub tombstone_span: Duration,
-    /// Lateness of a wake that counts as a pause of this process.
+    /// Delay of a wake-up that counts as a pause of this process.
     pub pause_margin: Duration,
-    /// Whether the local health counter and the pause check are in force; off only in tests that
-    /// show what they prevent.
+    /// Whether the local health score and the pause detection are enabled; disabled only in tests
+    /// that show what they prevent.
     pub lifeguard: bool,
-    /// Most members kept alive in the table.
+    /// Maximum number of live members in the table.
     pub member_limit: usize,
-    /// Most members kept as gone in the table.
+    /// Maximum number of departed members in the table.
     pub tombstone_limit: usize,
 }
 
--- a/crates/anvil_membership/src/contact.rs
+++ b/crates/anvil_membership/src/contact.rs
@@ -1,60 +1,65 @@
-//! The few nodes of a zone that stand in the store, for newcomers and as watchers.
+//! The contacts of a zone: a few nodes that have entries in the store.
+//!
+//! Starting nodes join through the contacts, and some contacts watch the rule log for the others.
 
 use std::time::Duration;
 
 use anvil_types::{backoff, store, time};
 
-/// Contact slots of each zone.
+/// Number of contact slots of each zone.
 ///
-/// Three survive the loss of two at once; each costs the store a renewal every five seconds.
+/// Three tolerate the loss of two at once; each costs the store a lease renewal every five seconds.
 pub const CONTACT_SLOTS: u8 = 3;
 
-/// Slots whose holders watch the log of changes; two, so that the loss of one goes unnoticed.
+/// Number of slots whose holders watch the rule log; two, so that the loss of one has no effect.
 pub const WATCH_SLOTS: u8 = 2;
 
-/// Span of a contact's lease.
+/// Duration of a contact's lease.
 pub const CONTACT_LEASE: Duration = Duration::from_secs(15);
 
-/// Time between two lists of a fresh node that has found nobody yet.
+/// Interval at which a starting node without peers lists the contacts.
 pub const ALONE_LIST_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time between two renewals.
+/// Interval of lease renewals.
 pub const RENEW_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Time between two looks at which slots of the own zone are vacant.
+/// Interval of checks for vacant slots in the node's own zone.
 pub const VACANCY_CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Time that each candidate gives the ones before it.
+/// Time that a candidate for a vacant slot waits for each candidate that precedes it.
 pub const CANDIDATE_WAIT: Duration = Duration::from_secs(5);
 
-/// Time between two lists of all contacts by a contact, to find parts of the fleet unknown to it.
+/// Interval at which a contact lists all contacts, to find parts of the fleet that it doesn't know.
 pub const LIST_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Time over which nodes that start together spread their first list of contacts.
+/// Time over which nodes that start together spread their first list request.
 pub const FIRST_LIST_SPREAD: Duration = Duration::from_secs(1);
 
-/// Time over which nodes that found an empty list spread their first try for a slot.
+/// Time over which nodes that found an empty contact list spread their first claim of a slot.
 pub const FIRST_CLAIM_SPREAD: Duration = Duration::from_secs(4);
 
-/// The same for a fleet of hundreds of nodes at most: sixteen lists within 200 ms are a tenth of the
-/// reads that its store allows, and a node that restarts knows its peers before its target's next
-/// heartbeat.
+/// [`FIRST_LIST_SPREAD`] for a fleet of at most a few hundred nodes.
+///
+/// Sixteen list requests within 200 ms are a tenth of the reads that its store allows, and a
+/// restarted node knows its peers before its target's next heartbeat.
 pub const SMALL_FIRST_LIST_SPREAD: Duration = Duration::from_millis(200);
 
-/// The same as [`FIRST_CLAIM_SPREAD`] for such a fleet.
+/// [`FIRST_CLAIM_SPREAD`] for such a fleet.
 pub const SMALL_FIRST_CLAIM_SPREAD: Duration = Duration::from_millis(800);
 
-/// Age of a list of contacts beyond which a node that met nobody reads it again before it acts.
+/// Maximum age of the contact list by which a node without peers may claim a slot.
 pub const MAX_LIST_AGE: Duration = Duration::from_secs(1);
 
-/// The same for a fleet of hundreds of nodes at most, whose first tries follow one another within
-/// [`SMALL_FIRST_CLAIM_SPREAD`]: a list costs a tenth of a try for a slot that is taken.
+/// [`MAX_LIST_AGE`] for a fleet of at most a few hundred nodes, whose first claims are made within
+/// [`SMALL_FIRST_CLAIM_SPREAD`].
+///
+/// A list request costs a tenth of a claim of a slot that is already taken.
 pub const SMALL_MAX_LIST_AGE: Duration = Duration::from_millis(100);
 
-/// Doublings after which the time between two lists has its full length.
+/// Number of doublings after which the list interval reaches [`LIST_INTERVAL`].
 const LIST_DOUBLINGS: u32 = 5;
 
-/// First and longest pause after the store failed.
+/// First and longest pause after a failure of the store.
 const PAUSE_FIRST: Duration = Duration::from_secs(1);
 const PAUSE_LIMIT: Duration = Duration::from_secs(30);
 
@@ -63,37 +68,38 @@
 pub struct HeldSlot {
     /// The slot.
     pub slot: u8,
-    /// The lease.
+    /// The lease that the entry is attached to.
     pub lease: store::LeaseId,
-    /// The write that took the slot.
+    /// The version of the entry.
     pub version: store::StoreVersion,
-    /// When to renew.
+    /// When to renew the lease.
     pub renew_at: time::NodeTime,
 }
 
-/// What this node has to do with contact entries.
+/// This node's contact slot, and what it knows about the contacts in the store.
 #[derive(Clone, Debug)]
 pub struct ContactState {
     /// The slot held, if any.
     pub held: Option<HeldSlot>,
     /// When to list the contacts next.
     pub list_at: time::NodeTime,
-    /// When to look for a vacant slot next.
+    /// When to check for a vacant slot next.
     pub vacancy_check_at: time::NodeTime,
-    /// Since when each slot of the zone stands vacant.
+    /// Since when each slot of the zone is known to be vacant.
     pub vacant_since: [Option<time::NodeTime>; CONTACT_SLOTS as usize],
     /// Pauses after failures of the store.
     pub backoff: backoff::RetryBackoff,
-    /// When the store last listed the contacts.
+    /// When the contacts were last listed.
     pub listed_at: Option<time::NodeTime>,
-    /// Whether that list held contacts that this node did not know.
+    /// Whether that list contained contacts that this node did not know.
     pub has_unknown_contacts: bool,
-    /// Lists since this node took its slot; the first ones follow one another faster.
+    /// Number of lists since this node claimed its slot; the first ones have shorter intervals.
     pub lists: u32,
 }
 
 impl ContactState {
-    /// Lists the contacts at `find_at` for the first time, and tries for a slot from `look_at` on.
+    /// Lists the contacts first at `list_at`, and checks for vacant slots from `vacancy_check_at`
+    /// on.
     pub fn new(list_at: time::NodeTime, vacancy_check_at: time::NodeTime) -> Self {
         Self {
             held: None,
@@ -107,16 +113,17 @@
         }
     }
 
-    /// Time to the next list.
+    /// Time until the next list.
     ///
-    /// When many nodes start on an empty store, each zone first knows only itself; the zones meet
-    /// when their contacts list the others, so the first lists follow one another quickly.
+    /// When many nodes start with an empty store, each zone first knows only its own nodes. The
+    /// zones find each other when their contacts list all entries, so the first intervals are
+    /// short.
     pub fn list_interval(&self) -> Duration {
         let doublings = self.lists.min(LIST_DOUBLINGS);
         (VACANCY_CHECK_INTERVAL / 2 * (1 << doublings)).min(LIST_INTERVAL)
     }
 
-    /// Whether this node watches the log of changes.
+    /// Whether this node holds a slot whose holder watches the rule log.
     pub fn watches_log(&self) -> bool {
         self.held.is_some_and(|held| held.slot < WATCH_SLOTS)
     }
--- a/crates/anvil_membership/src/counters.rs
+++ b/crates/anvil_membership/src/counters.rs
@@ -1,15 +1,15 @@
-//! Counts of what membership did, by cause.
+//! Counters of membership events.
 
 use crate::store_requests;
 
-/// Counts since the start of the node.
+/// Counters since the start of the node.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FleetCounters {
     /// Datagrams sent.
     pub datagrams_sent: u64,
     /// Datagrams received.
     pub datagrams_received: u64,
-    /// Datagrams among those sent that carried a rumour.
+    /// Datagrams sent that were rumours.
     pub rumours_sent: u64,
     /// Bulk messages sent.
     pub syncs_sent: u64,
@@ -17,42 +17,42 @@
     pub syncs_received: u64,
     /// Probes that failed.
     pub probes_failed: u64,
-    /// Members accused, by whomever.
+    /// Members that became suspect, whoever accused them.
     pub suspicions: u64,
-    /// Accusations of this node that it refuted.
+    /// Claims about this node that it refuted.
     pub refutations: u64,
-    /// Members that came.
+    /// Members that became known alive.
     pub members_up: u64,
-    /// Members that did not refute in time.
+    /// Members that did not refute a suspicion in time.
     pub members_crashed: u64,
-    /// Members that left by their word.
+    /// Members that announced that they left.
     pub members_left: u64,
-    /// Members whose address another node answered at.
+    /// Members at whose address another node answered.
     pub members_replaced: u64,
-    /// Claims refused because a table was full.
+    /// Claims rejected because a table was full.
     pub claims_refused: u64,
-    /// Pauses of this process.
+    /// Detected pauses of this process.
     pub pauses: u64,
-    /// Accepted changes and snapshots taken.
+    /// Rule changes and snapshots that were applied.
     pub rules_adopted: u64,
-    /// Pulls sent for changes that others hold.
+    /// Requests to peers for rule changes that this node lacks.
     pub rule_pulls: u64,
-    /// Questions to the platform's store.
+    /// Requests to the store.
     pub store_requests: u64,
-    /// The same by purpose.
+    /// Requests to the store, by purpose.
     pub requests_by_purpose: [u64; store_requests::RequestPurpose::COUNTED],
-    /// Questions whose answers were lost, or that were not made.
+    /// Requests to the store that failed or whose outcome is unknown.
     pub store_failed: u64,
 }
 
 impl FleetCounters {
-    /// Counts a question to the store.
+    /// Counts a request to the store.
     pub fn count_request(&mut self, purpose: store_requests::RequestPurpose) {
         self.store_requests += 1;
         self.requests_by_purpose[purpose.counter().0] += 1;
     }
 
-    /// Names and values, for the metrics and the dump.
+    /// Metric names and values, for the metrics and the dump.
     pub fn pairs(&self) -> impl Iterator<Item = (&'static str, u64)> {
         let counted = store_requests::RequestPurpose::ONE_PER_COUNTER
             .map(store_requests::RequestPurpose::counter);
--- a/crates/anvil_membership/src/digest.rs
+++ b/crates/anvil_membership/src/digest.rs
@@ -1,13 +1,14 @@
-//! Sums over parts of the table, by which two nodes find what they know differently.
+//! Checksums over buckets of the member table, by which two nodes find where their tables differ.
 
 use anvil_wire::gossip;
 
 use crate::{member, table};
 
-/// Members in a bucket, about; one changed member costs the headers of its bucket.
+/// Approximate number of members per bucket; one changed member costs the headers of its bucket.
 const BUCKET_MEMBERS: usize = 32;
 
-/// Spreads identities and incarnations over all bits; a large odd number with mixed bits.
+/// Multiplier that spreads node ids and incarnations over all bits (2^64 divided by the golden
+/// ratio).
 const MIX: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// The number of buckets for a fleet of `live` members.
@@ -16,12 +17,12 @@
     wanted.next_power_of_two().min(gossip::BUCKETS_LIMIT)
 }
 
-/// Whether a peer's number of buckets is one that this node works with.
+/// Whether a peer's number of buckets is valid.
 pub fn is_bucket_count(count: usize) -> bool {
     count.is_power_of_two() && count <= gossip::BUCKETS_LIMIT
 }
 
-/// One sum for each bucket over the members believed alive.
+/// The checksum of each bucket over its live members.
 pub fn sums(table: &table::MemberTable, buckets: usize) -> Vec<u32> {
     let mut sums = vec![0; buckets];
     for record in live(table) {
@@ -31,7 +32,7 @@
     sums
 }
 
-/// The members believed alive in the `differing` buckets.
+/// The headers of the live members in the `differing` buckets.
 pub fn headers(
     table: &table::MemberTable,
     buckets: usize,
--- a/crates/anvil_membership/src/effect.rs
+++ b/crates/anvil_membership/src/effect.rs
@@ -1,4 +1,4 @@
-//! What membership does to its surroundings, as data.
+//! The effects that membership requests from the reducer, as data.
 
 use std::net::SocketAddr;
 
@@ -8,13 +8,13 @@
 
 use crate::{member, proposal};
 
-/// Why a member is no longer there.
+/// Why a member departed.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum DepartureReason {
     /// It did not refute a suspicion in time.
     #[display("crashed")]
     Crashed,
-    /// It said that it left.
+    /// It announced that it left.
     #[display("left")]
     Left,
     /// Another node answered at its address.
@@ -22,35 +22,35 @@
     Replaced,
 }
 
-/// A change of state worth a log line.
+/// A state change that is logged.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum FleetReport {
-    /// The node knows the fleet.
+    /// The node received its first message of another member.
     #[display("joined: members={members}")]
     Joined {
-        /// Members known.
+        /// Number of known live members, including this node.
         members: usize,
     },
-    /// A member stands accused.
+    /// A member became suspect.
     #[display("suspected: node={node} by={by}")]
     Suspected {
         /// The member.
         node: ident::NodeId,
-        /// The first accuser.
+        /// The first node that accused it.
         by: ident::NodeId,
     },
-    /// A member is no longer there.
+    /// A member departed.
     #[display("gone: node={node} reason={reason}")]
     Departed {
         /// The member.
         node: ident::NodeId,
-        /// Why.
+        /// Why it departed.
         reason: DepartureReason,
     },
-    /// This node was accused and refuted.
+    /// This node refuted a claim about itself.
     #[display("refuted: incarnation={incarnation}")]
     Refuted {
-        /// The incarnation that refutes.
+        /// The incarnation of the refutation.
         incarnation: u32,
     },
     /// This node holds a contact slot of its zone.
@@ -59,88 +59,89 @@
         /// The slot.
         slot: u8,
     },
-    /// This node's contact lease ran out.
+    /// The lease of this node's contact slot expired.
     #[display("contact lease lapsed")]
     ContactLapsed,
-    /// The rules were compared with others or with the store; work may be served.
+    /// The rules were compared with peers or with the store; the node may serve requests.
     #[display("rules ready: revision={revision}")]
     RulesReady {
         /// The revision held.
         revision: ident::RuleRevision,
     },
-    /// This process did not run for a while.
+    /// This process was paused.
     #[display("paused: millis={millis}")]
     Paused {
-        /// For how long.
+        /// Duration of the pause, in milliseconds.
         millis: u64,
     },
 }
 
-/// What an encoded document is for.
+/// Where an encoded snapshot of the rules goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SnapshotDestination {
-    /// A member that missed more than the changes kept.
+    /// To a member that lacks more changes than this node retains.
     Peer(ident::NodeId),
-    /// A snapshot in the store.
+    /// Into the store.
     Store,
 }
 
-/// Everything that membership does to its surroundings.
+/// An effect that membership requests from the reducer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FleetEffect {
     /// Send a datagram.
     SendDatagram {
-        /// Where to.
+        /// The receiver's datagram address.
         to: SocketAddr,
-        /// What.
+        /// The message.
         message: gossip::GossipMessage,
     },
     /// Send a bulk message.
     SendSync {
         /// The receiver.
         peer: ident::NodeId,
-        /// Where it accepts connections.
+        /// The address at which the receiver accepts connections.
         address: SocketAddr,
-        /// What.
+        /// The message.
         message: gossip::SyncMessage,
     },
-    /// Ask the platform's store.
+    /// Send a request to the store.
     SendStoreRequest {
-        /// Identity of the question.
+        /// The id of the request.
         id: store::StoreId,
-        /// The question.
+        /// The request.
         request: store::StoreAsk,
     },
     /// A member became known alive.
     MemberUp(member::MemberView),
-    /// A member that was known alive changed.
+    /// A live member changed.
     MemberChanged(member::MemberView),
-    /// A member is no longer there.
+    /// A member departed.
     MemberDeparted {
         /// The member.
         node: ident::NodeId,
-        /// Why.
+        /// Why it departed.
         reason: DepartureReason,
     },
-    /// Put the next accepted change in force.
+    /// Apply the next accepted change to the rules in force.
     AdoptChange(gossip::LoggedChange),
-    /// Put the whole rules in force; the body holds them encoded.
+    /// Replace the rules in force by the encoded rules in the body.
     AdoptSnapshot(gossip::LoggedChange),
-    /// Encode the whole rules held; `give_snapshot` takes them.
+    /// Encode the rules in force, and pass them to
+    /// [`crate::fleet::FleetState::on_snapshot_encoded`].
     EncodeSnapshot {
-        /// What for.
+        /// Where the snapshot goes.
         destination: SnapshotDestination,
     },
-    /// The operator's change came to its end.
+    /// The proposal of an operator's change ended.
     ProposalEnded {
         /// The operator's id of the change.
         change: u128,
-        /// The revision that it made or would have made.
+        /// The revision that the change made or would have made.
         revision: ident::RuleRevision,
         /// How it ended.
         outcome: proposal::ProposalOutcome,
     },
-    /// The rules were compared; work may be served from now on.
+    /// The rules were compared with peers or with the store; the node may serve requests.
     Ready,
     /// Write a log line.
     Report(FleetReport),
--- a/crates/anvil_membership/src/fleet.rs
+++ b/crates/anvil_membership/src/fleet.rs
@@ -1,7 +1,8 @@
-//! The membership of one node: what it hears, what it does next.
+//! The membership state machine of one node.
 //!
-//! SWIM's probes and suspicions, with Lifeguard's local health, spread by bounded piggyback and
-//! rumours, and mended by an exchange of digests. See `docs/design/membership.md`.
+//! It uses SWIM's probes and suspicions with Lifeguard's local health score. Updates are
+//! piggybacked on probes and sent as rumours, both within byte and rate limits; digest exchanges
+//! repair what was lost. See `docs/design/membership.md`.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -28,35 +29,35 @@
 
 pub use proposing::ProposalRefusal;
 
-/// Shortest time between two wakes.
+/// Minimum time between two wake-ups.
 const WAKE_GAP: Duration = Duration::from_millis(1);
 
-/// Exchanges of digests of a fresh node that follow one another ten times as fast.
+/// Number of digest exchanges of a starting node with a tenth of the usual interval.
 const EARLY_SYNCS: u8 = 4;
 
-/// What the local target and node want others to know.
+/// What this node announces about its local target.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LocalTarget {
-    /// The service of the local target, where one announced itself.
+    /// The service of the local target, if a target has registered.
     pub service: Option<name::ServiceName>,
-    /// Requests that it runs at once.
+    /// Number of requests that the target runs concurrently.
     pub slots: u32,
     /// Whether the node or the target is leaving.
     pub leaving: bool,
 }
 
-/// Who the local node is.
+/// The identity and the addresses of the local node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LocalNode {
-    /// Its identity, drawn at this start.
+    /// Its id, drawn at random at each start.
     pub node: ident::NodeId,
-    /// Where it accepts peer connections.
+    /// The address at which it accepts peer connections.
     pub tcp: SocketAddr,
-    /// Where it accepts datagrams.
+    /// The address at which it accepts datagrams.
     pub udp: SocketAddr,
-    /// The availability zone it stands in.
+    /// Its availability zone.
     pub zone: name::ZoneName,
-    /// The region it stands in.
+    /// Its region.
     pub region: name::RegionName,
 }
 
@@ -75,12 +76,13 @@
     }
 }
 
-/// When the recurring matters are due.
+/// When the recurring tasks are due.
 #[derive(Clone, Copy, Debug)]
 struct FleetTimers {
     join: time::NodeTime,
     sync: time::NodeTime,
-    /// An exchange of digests soon after many members ended, to find an end that was missed.
+    /// An extra digest exchange after many members departed, to find departures that this node
+    /// missed.
     mass_departure_sync: Option<time::NodeTime>,
     reconnect: time::NodeTime,
     trim: time::NodeTime,
@@ -119,7 +121,7 @@
 }
 
 impl FleetState {
-    /// Starts at `now` knowing only the local node; the first wake is due at once.
+    /// Starts at `now` with only the local node as a member; the first wake-up is due immediately.
     pub fn new(
         config: config::FleetConfig,
         local: &LocalNode,
@@ -127,7 +129,7 @@
         now: time::NodeTime,
     ) -> Self {
         let mut choice = random::ChoiceSource::new(seed);
-        // Nodes that start together would otherwise probe and sync in step for ever.
+        // The random offsets keep nodes that start together from probing and syncing in lockstep.
         let timers = FleetTimers {
             join: now,
             sync: now + choice.span(config.sync_interval),
@@ -178,18 +180,18 @@
         state
     }
 
-    /// Lets the node use the platform's store; to be called before the first event.
+    /// Enables the store; must be called before the first event.
     pub fn use_store(&mut self, now: time::NodeTime) {
         self.config.store = true;
         self.rules = spread::RuleSpread::new(now, true, !self.config.seeds.is_empty());
         self.roster = roster::RosterCheck::new(false);
     }
 
-    /// Lets the node take its rules from one key of the store, which the operators write; to be
-    /// called before the first event.
+    /// Makes the node take its rules from the document that operators write under `key` of the
+    /// store; must be called before the first event.
     ///
-    /// Such fleets are of hundreds of nodes at most, so each node reads and watches the key itself
-    /// and looks for its peers at once.
+    /// Such fleets have at most a few hundred nodes, so each node reads the key itself and searches
+    /// for its peers right away.
     pub fn use_document(&mut self, now: time::NodeTime, key: store::StoreKey) {
         self.use_store(now);
         self.config.document = Some(key);
@@ -206,47 +208,47 @@
         self.contacts = contact::ContactState::new(list_at, vacancy_check_at);
     }
 
-    /// The local node's identity.
+    /// The local node's id.
     pub fn local(&self) -> ident::NodeId {
         self.local
     }
 
-    /// Everything known about members, alive and gone, the local node included.
+    /// All known members, live and departed, including the local node.
     pub fn table(&self) -> &table::MemberTable {
         &self.table
     }
 
-    /// Members that stand accused at present.
+    /// The current suspicions.
     pub fn suspicions(&self) -> &[suspicion::Suspicion] {
         self.suspicions.all()
     }
 
-    /// When `suspicion` ends its member unless refuted.
+    /// When the member of `suspicion` is declared dead unless it refutes.
     pub fn suspicion_deadline(&self, suspicion: &suspicion::Suspicion) -> time::NodeTime {
         suspicion.deadline(&self.config, self.table.live())
     }
 
-    /// Counts since the start.
+    /// The counters since the start.
     pub fn counters(&self) -> &counters::FleetCounters {
         &self.counters
     }
 
-    /// How little this node trusts its own view; zero where all is well.
+    /// The local health score; zero if healthy, higher if this node seems to be slow itself.
     pub fn health_score(&self) -> u32 {
         self.health.score()
     }
 
-    /// Claims that still wait to ride on datagrams.
+    /// Number of claims that are queued to be piggybacked.
     pub fn backlog(&self) -> usize {
         self.relays.len()
     }
 
-    /// Whether another member has been met.
+    /// Whether a message of another member was received.
     pub fn joined(&self) -> bool {
         self.joined
     }
 
-    /// Tells the fleet about the local target; nothing is sent where nothing changed.
+    /// Announces the local target to the fleet; sends nothing if nothing changed.
     pub fn set_local_target(
         &mut self,
         now: time::NodeTime,
@@ -261,8 +263,8 @@
         facts.leaving = target.leaving;
         let mut out = Vec::new();
         if facts.leaving {
-            // Given back now, while the process still runs to see it done; the slot would
-            // otherwise stand vacant until the lease lapses.
+            // Released while the process still runs; otherwise the slot would name a stopped node
+            // until the lease expires.
             self.release_slot(now, &mut out);
             facts.contact = None;
         }
@@ -275,25 +277,25 @@
         out
     }
 
-    /// Counts what this node has announced of itself; each announcement has a higher number.
+    /// This node's incarnation, which rises with each announcement about itself.
     pub fn incarnation(&self) -> u32 {
         self.incarnation
     }
 
-    /// Says that this node is gone for good; it answers nothing any more.
+    /// Announces that this node leaves; it handles no events afterwards.
     pub fn leave(&mut self, now: time::NodeTime) -> Vec<effect::FleetEffect> {
         let mut out = Vec::new();
         let rank = (self.incarnation, member::MemberState::Left);
         self.table.set_state(self.local, rank, now);
         self.relay(self.local);
-        // Said twice to different members, since nobody will repeat it for this node.
+        // Sent twice, to different members, since this node cannot resend it later.
         self.send_rumour(&mut out);
         self.send_rumour(&mut out);
         self.left = true;
         out
     }
 
-    /// Takes a datagram.
+    /// Handles a datagram.
     pub fn on_datagram(
         &mut self,
         now: time::NodeTime,
@@ -301,7 +303,7 @@
         message: &gossip::GossipMessage,
     ) -> Vec<effect::FleetEffect> {
         let mut out = Vec::new();
-        // An own datagram reflected by a wrong address must not count as a peer's word.
+        // A datagram of this node that returns through a wrong address is not a peer's message.
         if self.left || message.head.from == self.local {
             return out;
         }
@@ -317,7 +319,7 @@
         out
     }
 
-    /// Does what is due.
+    /// Runs the tasks that are due.
     pub fn on_wake(&mut self, now: time::NodeTime) -> Vec<effect::FleetEffect> {
         let mut out = Vec::new();
         if self.left {
@@ -341,7 +343,7 @@
         out
     }
 
-    /// When the next wake is due; none once the node has left.
+    /// When the next wake-up is due; none once the node has left.
     pub fn next_wake(&self) -> Option<time::NodeTime> {
         if self.left {
             return None;
@@ -373,15 +375,15 @@
             compare,
         ];
         let others = others.into_iter().flatten();
-        // A due time that nothing moves on would make the reducer spin; it costs a thousand wakes
-        // a second at most.
+        // A due time that is never advanced would make the reducer spin; the minimum gap limits
+        // that to a thousand wake-ups per second.
         Some(others.fold(due, Ord::min).max(self.last_wake_at + WAKE_GAP))
     }
 
-    /// Keeps probes and suspicions of a paused process from accusing others.
+    /// Detects a pause of this process, and cancels the probe and restarts the suspicions.
     ///
-    /// After a pause every answer and refutation of that time lies unread in the socket; judged by
-    /// the clock alone, the node would declare healthy members gone.
+    /// After a pause, the acks and refutations of that time are still unread in the socket. By the
+    /// clock alone, the node would declare healthy members dead.
     fn note_pause(&mut self, now: time::NodeTime, out: &mut Vec<effect::FleetEffect>) {
         let Some(due) = self.next_wake().filter(|_| self.config.lifeguard) else {
             return;
--- a/crates/anvil_membership/src/fleet/claims.rs
+++ b/crates/anvil_membership/src/fleet/claims.rs
@@ -1,4 +1,4 @@
-//! Claims about members: taking them in and repeating them.
+//! Claims about members: applying them and relaying them.
 
 use anvil_types::{ident, time};
 use anvil_wire::gossip;
@@ -6,7 +6,7 @@
 use crate::{effect, fleet, member, suspicion};
 
 impl fleet::FleetState {
-    /// Takes one claim in; older ones and repetitions change nothing.
+    /// Applies one claim; older and repeated claims change nothing.
     pub(super) fn apply(
         &mut self,
         now: time::NodeTime,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// The present claim about `node`, where it is known.
+    /// The current claim about `node`, if it is known.
     pub(super) fn claim(&self, node: ident::NodeId) -> Option<gossip::MemberUpdate> {
         let record = self.table.get(node)?;
         let standing = match record.state {
@@ -49,9 +49,9 @@
         })
     }
 
-    /// What a member that may know nothing of `node` needs to hear: the facts, where it is live.
+    /// The claim about `node` for a receiver that may not know it: with the facts, if it is live.
     ///
-    /// A bare suspicion would tell such a member nothing, since it has no address to go with it.
+    /// Such a receiver could not use a suspicion, since it has no address of the member.
     pub(super) fn full_claim(&self, node: ident::NodeId) -> Option<gossip::MemberUpdate> {
         let record = self.table.get(node)?;
         if !record.state.is_live() {
@@ -64,7 +64,7 @@
         })
     }
 
-    /// Accuses `node` in this node's own name.
+    /// Accuses `node` after a failed probe of this node.
     pub(super) fn accuse(
         &mut self,
         now: time::NodeTime,
@@ -83,7 +83,7 @@
         self.suspicions.ping_as_accuser(node, now);
     }
 
-    /// Asks the accused again, so that a refutation reaches its accuser on the shortest way.
+    /// Pings suspects, so that a refutation reaches this node directly.
     pub(super) fn ping_suspects(
         &mut self,
         now: time::NodeTime,
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Declares the suspects gone whose time is over.
+    /// Declares the suspects dead whose deadline has passed.
     pub(super) fn expire_suspects(
         &mut self,
         now: time::NodeTime,
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Ends a live member.
+    /// Marks a live member as departed, and relays and reports its departure.
     pub(super) fn mark_departed(
         &mut self,
         now: time::NodeTime,
@@ -151,7 +151,7 @@
         latest.copied().unwrap_or(self.local)
     }
 
-    /// Refutes whatever is said of this node that it did not say itself.
+    /// Refutes claims about this node that it did not make itself.
     fn apply_self_claim(
         &mut self,
         now: time::NodeTime,
@@ -160,8 +160,9 @@
     ) {
         let alive = member::claimed_state(&update.standing) == member::MemberState::Alive;
         if update.incarnation < self.incarnation {
-            // Refuted before, but the sender missed it and would end this node although it
-            // answers each of its pings: the refutation goes along with the next answer.
+            // The claim is already refuted, but the sender missed the refutation. It would declare
+            // this node dead although it acks every ping, so the next datagrams carry the
+            // refutation again.
             if !alive {
                 self.relay_claim(self.local, true);
             }
@@ -220,7 +221,7 @@
             self.counters.claims_refused += 1;
             return;
         }
-        // A refutation must be faster than the suspicion's end.
+        // A refutation has to arrive before the deadline of the suspicion.
         let refutes = self.suspicions.get(update.node).is_some();
         self.suspicions.clear(update.node);
         if refutes {
@@ -249,7 +250,7 @@
         out.push(effect::FleetEffect::MemberUp(view));
     }
 
-    /// Keeps facts that arrive behind a suspicion of their own incarnation.
+    /// Applies facts that arrive after a suspicion of their incarnation.
     fn apply_late_facts(
         &mut self,
         update: &gossip::MemberUpdate,
@@ -284,7 +285,7 @@
             return;
         };
         if rank > record.rank() && record.state == member::MemberState::Suspect {
-            // The accusers of the former incarnation say nothing about this one.
+            // Accusations of the previous incarnation do not apply to this one.
             self.suspicions.clear(node);
         }
         let was_live = record.state.is_live();
@@ -317,7 +318,7 @@
         };
         let was_live = record.state.is_live();
         if was_live {
-            // Raise the incarnation first, so that the end is told under the one claimed.
+            // Sets the incarnation first, so that the departure is relayed with the claimed one.
             let live = (update.incarnation, record.state);
             self.table.set_state(node, live, now);
             self.mark_departed(now, node, reason, out);
--- a/crates/anvil_membership/src/fleet/contacts.rs
+++ b/crates/anvil_membership/src/fleet/contacts.rs
@@ -1,18 +1,18 @@
-//! Contact entries in the store: joining through them, taking a vacant slot, keeping it.
+//! Contact entries in the store: joining through them, claiming a vacant slot, renewing its lease.
 
 use anvil_types::{ident, store, time};
 use anvil_wire::gossip;
 
 use crate::{contact, effect, fleet, keys, member, store_requests};
 
-/// Most contacts read at once; 14 zones have 42.
+/// Maximum number of contacts read by one request; 14 zones have 42.
 const LIST_LIMIT: u32 = 256;
 
-/// Contacts that a newcomer asks at once.
+/// Number of contacts that a node joins through at once.
 const JOIN_CONTACTS: usize = 3;
 
 impl fleet::FleetState {
-    /// Does what the contact entries have due.
+    /// Runs the tasks of the contact entries that are due.
     pub(super) fn contacts_when_due(
         &mut self,
         now: time::NodeTime,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Takes the outcome of a question about contacts.
+    /// Handles the outcome of a request about contacts.
     pub(super) fn on_contact_answer(
         &mut self,
         now: time::NodeTime,
@@ -69,12 +69,12 @@
             ) => {
                 self.on_lease_lapsed(now, out);
             }
-            // An unavailable store keeps the entries as they are; the next look tries again.
+            // If the store is unavailable, the next list, renewal or check tries again.
             _ => {}
         }
     }
 
-    /// Gives the slot back before a planned stop.
+    /// Removes this node's contact entry before a planned stop.
     pub(super) fn release_slot(&mut self, now: time::NodeTime, out: &mut Vec<effect::FleetEffect>) {
         if let Some(held) = self.contacts.held.take() {
             let key = keys::contact(&self.zone, held.slot);
@@ -90,7 +90,7 @@
     }
 
     fn list_contacts(&mut self, now: time::NodeTime, out: &mut Vec<effect::FleetEffect>) {
-        // An answer sets the next time; without one, the loss of the question does.
+        // The outcome or the timeout of the request sets the actual time.
         self.contacts.list_at = now + contact::LIST_INTERVAL * 2;
         let request = store::StoreAsk::List {
             prefix: store::StoreKey::new(keys::CONTACTS),
@@ -105,8 +105,10 @@
         );
     }
 
-    /// Joins through contacts that this node doesn't know alive: all of the fleet for a newcomer,
-    /// the other part where the fleet fell apart for longer than the dead are remembered.
+    /// Joins through contacts that this node does not know to be alive.
+    ///
+    /// A starting node finds the fleet in this way. A running one finds the other side of a
+    /// partition that lasted for longer than departed members are remembered.
     fn on_contacts_listed(
         &mut self,
         now: time::NodeTime,
@@ -128,7 +130,8 @@
         for contact in unknown.iter().take(JOIN_CONTACTS) {
             self.join_through(contact.udp, out);
         }
-        // Only contacts look on, so the reads grow with the zones and not with the nodes.
+        // After joining, only contacts list again, so the number of reads depends on the number of
+        // zones and not of nodes.
         self.contacts.lists += 1;
         let interval = match (self.joined, unknown.is_empty()) {
             (true, _) => self.contacts.list_interval(),
@@ -163,7 +166,7 @@
         );
     }
 
-    /// Becomes a candidate where a slot of the own zone has stood vacant long enough.
+    /// Tries to claim a slot of this node's zone that has been vacant for long enough.
     fn check_vacancies(&mut self, now: time::NodeTime, out: &mut Vec<effect::FleetEffect>) {
         let jitter = self.choice.span(contact::VACANCY_CHECK_INTERVAL / 4);
         self.contacts.vacancy_check_at = now + contact::VACANCY_CHECK_INTERVAL + jitter;
@@ -173,14 +176,14 @@
         let Some(listed_at) = self.contacts.listed_at else {
             return;
         };
-        // Of many nodes that start on an empty store, the first ones take the slots and the others
-        // see them when they read the list once more; otherwise each would cost a grant.
+        // When many nodes start with an empty store, the first ones claim the slots and the others
+        // find them in a newer list. Without the new list, each node would request a lease.
         if !self.joined && now.since(listed_at) > self.config.max_list_age {
             self.list_contacts(now, out);
             self.contacts.vacancy_check_at = now + self.config.max_list_age / 2;
             return;
         }
-        // Where contacts stand in the list, the fleet exists and is joined first.
+        // If the list names unknown contacts, the fleet exists and is joined first.
         if !self.joined && self.contacts.has_unknown_contacts {
             return;
         }
@@ -205,10 +208,10 @@
         })
     }
 
-    /// Members of the zone that come before this node for `slot`.
+    /// Number of members of the zone that precede this node as candidates for `slot`.
     ///
-    /// Every node computes the same order, so a vacant slot costs the store one grant and not one
-    /// from each node of the zone.
+    /// Every node computes the same order, so a vacant slot costs the store one lease grant instead
+    /// of one for each node of the zone.
     fn candidates_before(&self, slot: u8) -> u32 {
         let order = |node: ident::NodeId| node.0.rotate_left(u32::from(slot) * 21);
         let own = order(self.local);
@@ -221,7 +224,7 @@
         u32::try_from(before.count()).unwrap_or(u32::MAX)
     }
 
-    /// Begins to take a slot: its entry stands under a lease of its own.
+    /// Requests a lease for the entry in `slot`, the first step of claiming it.
     fn grant_slot_lease(
         &mut self,
         now: time::NodeTime,
@@ -290,11 +293,12 @@
         }));
     }
 
-    /// Meets the holder that this node didn't know of; it may stand for a part of the fleet.
+    /// Joins through the holder of a slot that this node tried to claim, since it may belong to an
+    /// unknown part of the fleet.
     ///
-    /// Failure: something else wrote at the keys of contacts, under no lease. Symptom: every slot
-    /// looks taken for good, so no newcomer finds the fleet. What can't be read names no node, and is
-    /// replaced under the condition that it still stands there as it was seen.
+    /// If another program writes to the contact keys without a lease, every slot looks taken for
+    /// ever and no starting node finds the fleet. A value that cannot be decoded names no node, so
+    /// it is replaced, on the condition that it has not changed since it was read.
     fn on_slot_conflict(
         &mut self,
         now: time::NodeTime,
@@ -316,8 +320,10 @@
         }
     }
 
-    /// Stops acting as a contact and asks for the slot again: a paused holder learns here that its lease
-    /// ran out and another node has the slot; where the store lost the lease, the slot is vacant.
+    /// Stops acting as a contact, and tries to claim the slot again.
+    ///
+    /// After a pause of this process, another node may hold the slot by now. If the store lost the
+    /// lease, the slot is vacant.
     fn on_lease_lapsed(&mut self, now: time::NodeTime, out: &mut Vec<effect::FleetEffect>) {
         let former = self.contacts.held.take();
         self.announce_slot(now, None);
@@ -329,17 +335,18 @@
         }
     }
 
-    /// Looks at once whether the lease of a contact slot still runs; the store may have lost it.
+    /// Renews the lease of this node's slot at the next wake-up, since the store may have lost it.
     pub(super) fn renew_lease_soon(&mut self, now: time::NodeTime) {
         if let Some(held) = &mut self.contacts.held {
             held.renew_at = now;
         }
     }
 
-    /// Lets all contacts look whether their leases still run, after the store's history was cut.
+    /// Makes all contacts renew their leases, after the store lost its history.
     ///
-    /// Failure: the store comes back from an older copy, without leases. Symptom: until the contacts renew
-    /// theirs, seconds later, whoever starts finds nobody. Those that watch see it at once.
+    /// A store that was restored from an older copy has lost the leases, so a node that starts
+    /// finds no contacts until their next renewals, seconds later. Nodes that watch detect the loss
+    /// immediately and notify the contacts.
     pub(super) fn request_lease_checks(
         &mut self,
         now: time::NodeTime,
--- a/crates/anvil_membership/src/fleet/counting.rs
+++ b/crates/anvil_membership/src/fleet/counting.rs
@@ -1,4 +1,4 @@
-//! Carrying out a census: cutting it into parts, summing the replies.
+//! Carries out a census: splits it into parts and sums their replies.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,9 +9,10 @@
 use crate::{census, effect, fleet};
 
 impl fleet::FleetState {
-    /// Counts on how many members the revision held is in force; see [`Self::census`].
+    /// Starts to count on how many members this node's revision is in force; [`Self::census`]
+    /// returns the result.
     ///
-    /// Nothing is asked while an operator's count is under way.
+    /// Does nothing while an earlier count of an operator is open.
     pub fn count_revision(&mut self, now: time::NodeTime) -> Vec<effect::FleetEffect> {
         let mut out = Vec::new();
         let mut open = self.census.open.iter();
@@ -34,12 +35,12 @@
         out
     }
 
-    /// The last whole count that was asked for here.
+    /// The last complete count that an operator requested through this node.
     pub fn census(&self) -> Option<&census::CensusResult> {
         self.census.last.as_ref()
     }
 
-    /// Takes a message of a count.
+    /// Handles a request or a reply of a count.
     pub(super) fn on_census(
         &mut self,
         now: time::NodeTime,
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Ends the counts whose time is over.
+    /// Retries silent parts, and ends the counts whose deadline has passed.
     pub(super) fn census_when_due(
         &mut self,
         now: time::NodeTime,
@@ -113,7 +114,7 @@
         let members = members.filter(|m| m.state.is_live() && m.node != self.local);
         let members: Vec<_> = members.map(|m| m.node).collect();
         let size = members.len().div_ceil(census::PARTS).max(1);
-        // No part spans this node, which would be counted once more by the part's counter.
+        // A part that spans this node's id would make the part's counter count this node again.
         let (before, after) = members.split_at(members.partition_point(|n| *n < self.local));
         let parts = before.chunks(size).chain(after.chunks(size));
         let parts = parts.map(|members| census::OpenPart {
@@ -141,9 +142,9 @@
         }
     }
 
-    /// Gives the parts whose counters are silent to other members, once.
+    /// Requests the parts without a reply from other members, once.
     ///
-    /// A counter may have crashed a moment ago; its whole part would count as silent with it.
+    /// A counter may have just crashed; without the retry its whole part would count as silent.
     fn retry_parts(&mut self, now: time::NodeTime, out: &mut Vec<effect::FleetEffect>) {
         let mut open_counts = std::mem::take(&mut self.census.open);
         for open in &mut open_counts {
@@ -154,7 +155,7 @@
         self.census.open = open_counts;
     }
 
-    /// Asks one member of each missing part to count it, another one than before.
+    /// Requests each part without a reply from one of its members, a different one than before.
     fn request_parts(&mut self, open: &mut census::OpenCensus, out: &mut Vec<effect::FleetEffect>) {
         for (index, part) in open
             .parts
--- a/crates/anvil_membership/src/fleet/newcomer.rs
+++ b/crates/anvil_membership/src/fleet/newcomer.rs
@@ -1,4 +1,4 @@
-//! A fresh node's comparison of its members with peers, before it serves.
+//! The comparison of a starting node's members with those of peers, before it becomes ready.
 
 use anvil_types::{ident, time};
 use anvil_wire::gossip;
@@ -6,16 +6,19 @@
 use crate::{effect, fleet, roster};
 
 impl fleet::FleetState {
-    /// Begins without a comparison where nobody has answered for long enough.
+    /// Ends the check without a comparison if its deadline has passed.
     pub(super) fn end_comparison_when_due(&mut self, now: time::NodeTime) {
         if self.roster.next_wake().is_some_and(|due| due <= now) {
             self.roster.finish();
         }
     }
 
-    /// With whom a fresh node compares its members: any that is not known to be fresh too.
+    /// The peer that a starting node compares its members with: one that is not known to be
+    /// starting too.
     ///
-    /// Those that let it in are asked last: many nodes that start at once would all ask the same.
+    /// Ready peers that already sent messages, such as the contacts or seeds that it joined
+    /// through, are chosen last, since many nodes that start together would all choose the same
+    /// ones.
     pub(super) fn comparison_partner(&mut self) -> Option<ident::NodeId> {
         let mut except = self.roster.newcomers().to_vec();
         except.push(self.local);
@@ -30,8 +33,8 @@
         Some(drawn.node)
     }
 
-    /// What a fresh node says of itself beside a digest: a peer that has not heard of it would
-    /// have no address to answer to.
+    /// The claim about itself that a starting node sends with a digest; a peer that does not know
+    /// the node yet would have no address to reply to.
     pub(super) fn introduction(&self) -> Vec<gossip::MemberUpdate> {
         if self.roster.is_compared() {
             return Vec::new();
@@ -39,7 +42,7 @@
         self.claim(self.local).into_iter().collect()
     }
 
-    /// Takes in that this node knows all that `head`'s sender knows.
+    /// Handles that this node now knows all members that the sender of `head` knows.
     pub(super) fn on_members_compared(
         &mut self,
         now: time::NodeTime,
@@ -57,7 +60,7 @@
         self.update_readiness(now, out);
     }
 
-    /// Goes on to the next peer, or begins where all that answer are fresh themselves.
+    /// Continues with the next peer, or ends the check if all peers that answered are starting too.
     fn on_compared_with_newcomer(&mut self, now: time::NodeTime, peer: ident::NodeId) {
         self.roster.note_newcomer(peer, self.table.live());
         let others_ready = !self.rules.ready_peers.is_empty();
--- a/crates/anvil_membership/src/fleet/probing.rs
+++ b/crates/anvil_membership/src/fleet/probing.rs
@@ -1,4 +1,4 @@
-//! Probes: sending them, answering them and judging their outcome.
+//! Probes: sending them, answering them and evaluating their results.
 
 use std::net::SocketAddr;
 
@@ -7,11 +7,11 @@
 
 use crate::{effect, fleet, member, probe, relay};
 
-/// Members that a newcomer is told of.
+/// Number of members that a joining node is sent in addition to the answering node.
 const WELCOME_MEMBERS: usize = 8;
 
 impl fleet::FleetState {
-    /// Does what the probes have due.
+    /// Runs the probe actions that are due.
     pub(super) fn probe_when_due(
         &mut self,
         now: time::NodeTime,
@@ -37,9 +37,9 @@
         }
     }
 
-    /// Pings a member believed gone now and then, so that two sides of a healed partition meet.
+    /// Periodically pings a random departed member, to detect that a partition has healed.
     ///
-    /// Each side believes the other gone and would never speak to it again.
+    /// Each side has declared the other dead and would otherwise never contact it again.
     pub(super) fn reconnect_when_due(
         &mut self,
         now: time::NodeTime,
@@ -67,7 +67,7 @@
         self.ping(target, number, out);
     }
 
-    /// Notes what a message's head says about its sender.
+    /// Records the sender's revision, and that this node has joined.
     pub(super) fn note_sender(
         &mut self,
         now: time::NodeTime,
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Answers a datagram.
+    /// Handles the payload of a datagram.
     pub(super) fn on_payload(
         &mut self,
         now: time::NodeTime,
@@ -124,7 +124,7 @@
         self.request_introduction(from, message, out);
     }
 
-    /// Asks a sender that is not in the table for its facts.
+    /// Requests the facts of a sender that is not in the table.
     fn request_introduction(
         &mut self,
         from: SocketAddr,
@@ -183,7 +183,7 @@
         }
     }
 
-    /// Pings `target` for `asker`, where both are known.
+    /// Pings `target` for `requester`, if both are known.
     fn relay_ping(
         &mut self,
         now: time::NodeTime,
@@ -192,7 +192,7 @@
         target: ident::NodeId,
         out: &mut Vec<effect::FleetEffect>,
     ) {
-        // A nack must reach the asker before its period ends.
+        // A nack has to reach the requester before its probe interval ends.
         let nack_after = (self.config.probe_interval - self.config.indirect_after) * 3 / 5;
         let nack_at = now + nack_after;
         if self.table.get(target).is_none() || self.table.get(requester).is_none() {
@@ -236,7 +236,7 @@
         self.send_to_member(target, kind, out);
     }
 
-    /// Sends `kind` to a known member, with the claims it should hear.
+    /// Sends `kind` to a known member, with the claims for it.
     fn send_to_member(
         &mut self,
         node: ident::NodeId,
@@ -250,7 +250,8 @@
         self.send(to, kind, updates, out);
     }
 
-    /// The claims for one receiver; one that is doubted hears so first, to refute at once.
+    /// The claims to piggyback for `receiver`; if it is not considered alive, they include the
+    /// claim about itself, so that it can refute immediately.
     fn updates_for(&mut self, receiver: ident::NodeId) -> Vec<gossip::MemberUpdate> {
         let mut updates = self.take_updates(self.config.piggyback_bytes);
         let not_alive = |r: &&crate::member::MemberRecord| r.state != member::MemberState::Alive;
--- a/crates/anvil_membership/src/fleet/proposing.rs
+++ b/crates/anvil_membership/src/fleet/proposing.rs
@@ -1,4 +1,4 @@
-//! Writing an operator's change into the store's log.
+//! Writing an operator's change to the rule log in the store.
 
 use anvil_types::{store, time};
 use anvil_wire::gossip;
@@ -6,22 +6,22 @@
 
 use crate::{effect, fleet, keys, proposal, store_requests};
 
-/// Why a change was not even tried.
+/// Why a change was rejected without an attempt to write it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
 pub enum ProposalRefusal {
     /// Another change is being written through this node.
     #[display("another change is being written through this node; try again")]
     Busy,
-    /// The node has not compared its rules with others yet.
+    /// The node has not compared its rules with peers or the store yet.
     #[display("this node has not learned the rules in force yet")]
     NotReady,
-    /// The node's settings name no store.
+    /// No store is configured.
     #[display("this node's settings name no platform store to keep the rules in")]
     NoStore,
 }
 
 impl fleet::FleetState {
-    /// Writes a change that follows the revision held; the end comes as
+    /// Starts to write a change that follows the revision held; the outcome is reported as
     /// [`effect::FleetEffect::ProposalEnded`].
     pub fn propose(
         &mut self,
@@ -51,7 +51,7 @@
         Ok(out)
     }
 
-    /// Takes the next step of the open proposal.
+    /// Runs the next step of the open proposal, if it is due.
     pub(super) fn propose_when_due(
         &mut self,
         now: time::NodeTime,
@@ -98,11 +98,12 @@
         }
     }
 
-    /// Takes the outcome of writing the change, or of reading it back.
+    /// Handles the outcome of writing the change, or of reading it back.
     ///
-    /// An answer lost behind the effect must not be told as a failure, and a blind repetition
-    /// could collide with the own change: what stands at the place is read and its id compared.
-    /// Only where nothing stands there is the change written again, still only if absent.
+    /// A write whose response was lost may have taken effect, so it must not be reported as a
+    /// failure, and a retry could conflict with the change itself. Therefore the entry is read and
+    /// its change id compared. The change is written again only if there is no entry, and only if
+    /// it is still absent.
     pub(super) fn on_proposal_answer(
         &mut self,
         now: time::NodeTime,
@@ -175,7 +176,7 @@
         open.next = Some((now + pause, step));
     }
 
-    /// Compares what stands in the log with the own change.
+    /// Compares the log entry of the revision with the proposed change, and ends the proposal.
     fn resolve_proposal(
         &mut self,
         now: time::NodeTime,
@@ -191,7 +192,7 @@
             self.read_log_soon(now);
         }
         if accepted {
-            // The operator is told only once the change is on its way to others.
+            // The change is sent to peers before the operator is notified.
             self.send_rumour(out);
             self.end_proposal(proposal::ProposalOutcome::Accepted, out);
         } else {
--- a/crates/anvil_membership/src/fleet/rules.rs
+++ b/crates/anvil_membership/src/fleet/rules.rs
@@ -1,4 +1,4 @@
-//! Rule changes: adopting them in order, learning of newer ones, handing them on.
+//! Rule changes: applying them in order, obtaining newer ones, sending them to peers.
 
 use std::net::SocketAddr;
 
@@ -8,15 +8,15 @@
 
 use crate::{effect, fleet, keys, member, rule_log, spread, store_requests};
 
-/// Bytes of changes that go on a datagram; more go over TCP.
+/// Maximum size of the changes on a datagram, in bytes; larger ones are sent over TCP.
 const MAX_DATAGRAM_CHANGE_BYTES: usize = 900;
 
 impl fleet::FleetState {
-    /// Whether work may be served: the revision held was compared with peers or with the store, and
-    /// the members known with a peer's.
+    /// Whether the node may serve requests: its revision was compared with peers or with the store,
+    /// and its members were compared with a peer's.
     ///
-    /// A newcomer that served at once would treat requests by rules that its peers have left
-    /// behind, seconds or days ago, and refuse services of whose targets it has not heard.
+    /// A starting node that served immediately would apply rules that were replaced seconds or days
+    /// ago, and refuse services whose targets it does not know yet.
     pub fn is_ready(&self) -> bool {
         self.rules.ready
     }
@@ -31,7 +31,8 @@
         self.rules.log.tail()
     }
 
-    /// Hands on the whole rules that [`effect::FleetEffect::EncodeSnapshot`] asked for.
+    /// Takes the encoded rules that [`effect::FleetEffect::EncodeSnapshot`] requested, and sends or
+    /// writes them.
     pub fn on_snapshot_encoded(
         &mut self,
         now: time::NodeTime,
@@ -53,7 +54,7 @@
         out
     }
 
-    /// Does what the rules have due.
+    /// Runs the tasks of the rules that are due.
     pub(super) fn rules_when_due(
         &mut self,
         now: time::NodeTime,
@@ -71,7 +72,7 @@
         self.update_readiness(now, out);
     }
 
-    /// When the rules have something due next.
+    /// When the next task of the rules is due.
     pub(super) fn next_rules_wake(&self) -> Option<time::NodeTime> {
         let rules = &self.rules;
         let pull = rules.pull.map(|pull| pull.retry_at);
@@ -86,7 +87,7 @@
         due.into_iter().flatten().min()
     }
 
-    /// Notes the revision in a message's head, and pulls where it is newer.
+    /// Handles the revision in a message's head, and pulls if it is newer.
     pub(super) fn on_revision(
         &mut self,
         now: time::NodeTime,
@@ -111,7 +112,8 @@
         self.update_readiness(now, out);
     }
 
-    /// Takes changes from a peer or from the store, in any order; tells whether some are missing.
+    /// Applies changes from a peer or from the store, in any order; returns whether some are
+    /// missing.
     pub(super) fn apply_changes(
         &mut self,
         changes: &[gossip::LoggedChange],
@@ -134,7 +136,7 @@
         gap
     }
 
-    /// Takes the whole rules where they are newer.
+    /// Applies a snapshot of the rules, if it is newer.
     pub(super) fn apply_snapshot(
         &mut self,
         snapshot: &gossip::LoggedChange,
@@ -146,7 +148,7 @@
         }
     }
 
-    /// Answers a member that holds less.
+    /// Sends the changes after `after` to a member that pulls them.
     pub(super) fn answer_pull(
         &mut self,
         from: SocketAddr,
@@ -176,9 +178,9 @@
         }
     }
 
-    /// Reads the log in the store at the next chance.
+    /// Schedules a read of the log in the store, unless reads are failing.
     pub(super) fn read_log_soon(&mut self, now: time::NodeTime) {
-        // Where one key holds the whole rules, what comes after the first read is watched for.
+        // After the first read of a rule document, newer versions arrive by watches and polls.
         if self.config.document.is_some() && self.rules.caught_up {
             return;
         }
@@ -187,7 +189,7 @@
         }
     }
 
-    /// Takes the outcome of a question about the log.
+    /// Handles the outcome of a request about the log or the rule document.
     pub(super) fn on_log_answer(
         &mut self,
         now: time::NodeTime,
@@ -210,7 +212,7 @@
         let decoded = decoded.filter_map(|entry| gossip::LoggedChange::from_value(&entry.value));
         let changes: Vec<_> = decoded.collect();
         let gap = if self.config.document.is_some() {
-            // The key holds whole rules, so none is missing before the newest.
+            // A document contains the complete rules, so no earlier changes can be missing.
             for snapshot in &changes {
                 self.apply_snapshot(snapshot, out);
             }
@@ -226,7 +228,7 @@
                 self.read_log_soon(now);
             }
         } else if gap {
-            // The log has been trimmed behind a snapshot.
+            // The log has been trimmed up to a snapshot.
             let key = store::StoreKey::new(keys::MANIFEST);
             self.request_store(
                 now,
@@ -243,7 +245,7 @@
         self.update_readiness(now, out);
     }
 
-    /// Whether a question about the log or a snapshot is out.
+    /// Whether a read of the log or of a snapshot is pending.
     fn is_reading_rules(&self) -> bool {
         let purposes = [
             store_requests::RequestPurpose::ReadLog,
@@ -255,14 +257,14 @@
             .any(|purpose| self.requests.is_open(*purpose))
     }
 
-    /// Whether this node waits at the store for the next change of the rules.
+    /// Whether a watch for the next change of the rules is pending, other than a poll.
     pub fn watches_rules(&self) -> bool {
         self.requests
             .is_open(store_requests::RequestPurpose::WatchLog)
             && self.rules.is_watcher
     }
 
-    /// When the store is next asked for a change.
+    /// When the next watch or poll is due.
     fn next_watch_at(&self) -> time::NodeTime {
         let rules = &self.rules;
         if rules.is_watcher {
@@ -274,10 +276,11 @@
         }
     }
 
-    /// Decides whether this node is one of those of its zone that watch the key: every node computes the
-    /// same order, so nothing has to be agreed, and the next one takes over from one that is accused.
+    /// Decides whether this node is one of the watchers of the rule document in its zone.
     ///
-    /// A fresh node that knows nobody yet would take itself for one.
+    /// Every node computes the same order, so no agreement is needed, and the next node replaces a
+    /// suspect one. A starting node waits first, since without known members it would always choose
+    /// itself.
     fn choose_watchers(&mut self, now: time::NodeTime) {
         if !self.roster.is_compared() && now < self.rules.watcher_choice_at {
             return;
@@ -293,7 +296,7 @@
             && !self.is_leaving();
     }
 
-    /// Draws when a node that does not watch looks at the key next.
+    /// Draws the interval to the next poll of a node that is not a watcher.
     fn schedule_poll(&mut self, now: time::NodeTime) {
         self.rules.polled_at = now;
         self.rules.poll_interval =
@@ -317,12 +320,12 @@
         out: &mut Vec<effect::FleetEffect>,
     ) {
         if *outcome == store::StoreOutcome::HistoryLost {
-            // What was written in the gap can only be read; watching on from the same point would
-            // be refused for ever.
+            // The changes of the gap can only be read; a watch from the same version would be
+            // rejected for ever.
             self.rules.watch_at = now;
             self.rules.caught_up = false;
             self.rules.read_at = Some(now);
-            // The store may have come back from an older copy, whose order of writes begins anew.
+            // The store may have been restored from an older copy, whose versions start again.
             self.rules.seen = store::StoreVersion(0);
             self.request_lease_checks(now, out);
             return;
@@ -339,8 +342,8 @@
 
     fn after_adoption(&mut self) {
         self.counters.rules_adopted += 1;
-        // With one rumour of each, a node in fifty hears with the probes, seconds later, and more
-        // where some of those told have just vanished.
+        // If each node sends one rumour, one node in fifty is missed and receives the change with a
+        // probe seconds later, and more if some of the receivers have just crashed.
         if self.config.document.is_some() {
             self.rumours.request_change();
         } else {
@@ -376,7 +379,7 @@
         );
     }
 
-    /// Pulls again from a random member where the first one did not answer.
+    /// Pulls again, from a random member with a newer revision, if no answer arrived in time.
     fn retry_pull(&mut self, now: time::NodeTime, out: &mut Vec<effect::FleetEffect>) {
         let Some(pull) = self.rules.pull.filter(|pull| pull.retry_at <= now) else {
             return;
--- a/crates/anvil_membership/src/fleet/sending.rs
+++ b/crates/anvil_membership/src/fleet/sending.rs
@@ -1,4 +1,4 @@
-//! What goes out: claims on rumours and probes, and the head of every message.
+//! Sending datagrams: rumours, piggybacked claims, and the head of every message.
 
 use std::net::SocketAddr;
 
@@ -8,7 +8,7 @@
 use crate::{effect, fleet, member};
 
 impl fleet::FleetState {
-    /// Puts the local node's facts into the table under its present incarnation.
+    /// Inserts the local node's facts into the table with its current incarnation, and relays them.
     pub(super) fn announce(&mut self, facts: gossip::MemberFacts, now: time::NodeTime) {
         let record = member::MemberRecord {
             node: self.local,
@@ -25,14 +25,15 @@
         self.relay(self.local);
     }
 
-    /// Lets the present claim about `node` ride on datagrams and on the next rumour.
+    /// Queues the current claim about `node` for piggybacking, and requests a rumour.
     pub(super) fn relay(&mut self, node: ident::NodeId) {
         let is_urgent = |r: &member::MemberRecord| !r.state.is_live() || r.facts.leaving;
         let urgent = self.table.get(node).is_some_and(is_urgent);
         self.relay_claim(node, urgent);
     }
 
-    /// The same, ahead of others where it is `urgent`: ends, leavings and refutations.
+    /// Like [`Self::relay`], but ahead of other claims if `urgent`: for departures, leaving members
+    /// and refutations.
     pub(super) fn relay_claim(&mut self, node: ident::NodeId, urgent: bool) {
         if !self.relaying && node != self.local {
             return;
@@ -48,7 +49,7 @@
         }
     }
 
-    /// Sends a rumour where something changed and the budget allows one.
+    /// Sends a rumour if one is requested and within the budget.
     pub(super) fn send_rumour_if_due(
         &mut self,
         now: time::NodeTime,
@@ -90,12 +91,12 @@
         out.push(self.datagram(to, kind, updates));
     }
 
-    /// A datagram of another state module, which tells of this node like any other.
+    /// A datagram for another part of the node, with the head of this node.
     pub fn message(&mut self, to: SocketAddr, kind: gossip::GossipKind) -> effect::FleetEffect {
         self.datagram(to, kind, Vec::new())
     }
 
-    /// The same with what this node says of itself, for a receiver that may not have heard it.
+    /// Like [`Self::message`], with the claim about this node, for a receiver that may not know it.
     pub fn message_with_claim(
         &mut self,
         to: SocketAddr,
--- a/crates/anvil_membership/src/fleet/snapshots.rs
+++ b/crates/anvil_membership/src/fleet/snapshots.rs
@@ -6,11 +6,11 @@
 
 use crate::{effect, fleet, keys, snapshot, spread, store_requests};
 
-/// Entries of the log removed in one go.
+/// Maximum number of log entries removed per list request.
 const TRIM_LIMIT: u32 = 128;
 
 impl fleet::FleetState {
-    /// Writes a snapshot where the log has grown long, one step at a time.
+    /// Starts to write a snapshot if the log has grown enough, and runs the step that is due.
     pub(super) fn snapshot_when_due(
         &mut self,
         now: time::NodeTime,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Begins to write the chunks of `snapshot`.
+    /// Starts to write the chunks of `snapshot`.
     pub(super) fn begin_chunks(
         &mut self,
         now: time::NodeTime,
@@ -56,7 +56,7 @@
         self.snapshot_step(now, out);
     }
 
-    /// Takes the outcome of one step.
+    /// Handles the outcome of one step.
     pub(super) fn on_snapshot_answer(
         &mut self,
         now: time::NodeTime,
@@ -74,7 +74,7 @@
         );
         if failed {
             let pause = self.snapshot.backoff.next_pause(self.choice.any());
-            // A manifest whose answer was lost is looked at before anything else is done.
+            // If the response to the manifest's write was lost, the manifest is read first.
             let step = match open.step {
                 snapshot::SnapshotStep::Publish => snapshot::SnapshotStep::Check,
                 step => step,
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Takes the manifest of a snapshot that is to be read.
+    /// Handles the manifest of a snapshot that is to be read.
     pub(super) fn on_manifest(
         &mut self,
         now: time::NodeTime,
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Takes one chunk of the snapshot that is being read.
+    /// Handles one chunk of the snapshot that is being read.
     pub(super) fn on_chunk(
         &mut self,
         now: time::NodeTime,
@@ -129,7 +129,7 @@
         let (Some(mut load), store::StoreOutcome::Done(store::StoreReply::Entry(Some(entry)))) =
             (self.rules.load.take(), outcome)
         else {
-            // Replaced by a newer snapshot meanwhile, or the store failed: begin again.
+            // The snapshot was replaced by a newer one, or the store failed: start again.
             self.load_failed(now);
             return;
         };
@@ -170,7 +170,8 @@
         self.rules.read_at = Some(now + pause);
     }
 
-    /// Sets the revision of the next snapshot; random, so that seldom two nodes write the same.
+    /// Sets the revision of the next snapshot, with a random offset so that two nodes seldom write
+    /// one at the same revision.
     fn schedule_snapshot(&mut self) {
         let jitter = self.choice.below(spread::SNAPSHOT_EVERY as usize / 2) as u64;
         let held = self.revision().0;
@@ -200,7 +201,7 @@
                 None => return,
             },
             snapshot::SnapshotStep::ListLog => list_request(keys::LOG, None, TRIM_LIMIT),
-            // One at a time, since each brings its whole value.
+            // One chunk per request, since the response contains its value.
             snapshot::SnapshotStep::ListChunks { after } => {
                 list_request(keys::SNAPSHOTS, after.clone(), 1)
             }
@@ -212,7 +213,7 @@
         self.request_store(now, store_requests::RequestPurpose::Snapshot, request, out);
     }
 
-    /// The write with its next step; none where it is done with.
+    /// The write with its next step, or none if it is complete or abandoned.
     fn after_step(
         &self,
         mut open: snapshot::SnapshotWrite,
@@ -224,7 +225,7 @@
                 store::StoreOutcome::Done(store::StoreReply::Entry(found)),
             ) => self.after_check(&mut open, found)?,
             (snapshot::SnapshotStep::Chunk { next }, _) => {
-                // A chunk that stands there already was written before a lost answer.
+                // On a conflict, the chunk was written earlier and its response was lost.
                 let last = open.manifest.is_none_or(|m| next + 1 >= m.chunks);
                 if last {
                     snapshot::SnapshotStep::Publish
@@ -299,7 +300,7 @@
     }
 }
 
-/// Removes the entries of the log that lie well behind the snapshot, then looks at the chunks.
+/// Removes the log entries that are older than the retained ones, then lists the chunks.
 fn trim_step(
     open: &snapshot::SnapshotWrite,
     entries: &[store::StoreEntry],
@@ -323,12 +324,12 @@
     remove_step(old, then)
 }
 
-/// Removes a chunk that belongs to no snapshot at or behind the present one, then looks on.
+/// Removes a chunk of an older snapshot, then lists the next chunk.
 fn sweep_step(open: &snapshot::SnapshotWrite, entry: &store::StoreEntry) -> snapshot::SnapshotStep {
     let after = Some(entry.key.clone());
     let then = snapshot::SnapshotStep::ListChunks { after };
     let own = open.manifest.map(|m| keys::chunk(m.revision, m.writer, 0));
-    // Keys sort by revision; a writer that is still busy with a newer one is left alone.
+    // Keys sort by revision; chunks of a newer snapshot that is still being written are kept.
     let older = own.is_some_and(|own| entry.key < own);
     if older {
         return remove_step(vec![(entry.key.clone(), entry.version)], then);
--- a/crates/anvil_membership/src/fleet/store_access.rs
+++ b/crates/anvil_membership/src/fleet/store_access.rs
@@ -1,11 +1,11 @@
-//! Questions to the store: sending them and handing their outcomes on.
+//! Requests to the store: sending them and dispatching their outcomes.
 
 use anvil_types::{store, time};
 
 use crate::{effect, fleet, member, store_requests};
 
 impl fleet::FleetState {
-    /// Takes the outcome of a question to the store.
+    /// Handles the outcome of a request to the store.
     pub fn on_store(
         &mut self,
         now: time::NodeTime,
@@ -24,7 +24,7 @@
         out
     }
 
-    /// Asks the store, unless the same is being asked already.
+    /// Sends a request to the store, unless one for the same purpose is pending.
     pub(super) fn request_store(
         &mut self,
         now: time::NodeTime,
@@ -40,7 +40,7 @@
         out.push(effect::FleetEffect::SendStoreRequest { id, request });
     }
 
-    /// Gives up the questions whose answers never came.
+    /// Handles requests that timed out as requests with an unknown outcome.
     pub(super) fn expire_requests(
         &mut self,
         now: time::NodeTime,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Whether this node has told that it leaves.
+    /// Whether this node has announced that it is leaving.
     pub(super) fn is_leaving(&self) -> bool {
         let record = self.table.get(self.local);
         record.is_none_or(|r| r.facts.leaving || r.state != member::MemberState::Alive)
--- a/crates/anvil_membership/src/fleet/syncing.rs
+++ b/crates/anvil_membership/src/fleet/syncing.rs
@@ -1,4 +1,4 @@
-//! Joining, and the exchange of digests that mends what datagrams lost.
+//! Joining, and digest exchanges that repair the loss of datagrams.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,25 +8,25 @@
 
 use crate::{digest, effect, fleet, member, roster};
 
-/// Time between two attempts to join.
+/// Interval of attempts to join.
 const JOIN_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Ends between two exchanges that count as a storm.
+/// Number of departures between two digest exchanges that counts as a mass departure.
 const MASS_DEPARTURE_COUNT: u32 = 16;
 
-/// Quiet time behind the last end of a storm before digests are compared.
+/// Time without departures after a mass departure before digests are compared.
 const MASS_DEPARTURE_QUIET_PERIOD: Duration = Duration::from_secs(4);
 
-/// Claims of one bulk message that are still repeated by datagrams.
+/// Maximum number of claims in a bulk message for them to be relayed by datagrams.
 ///
-/// A few may be news to everybody; many are old news that only the receiver missed, and repeating
-/// them would flood a healthy fleet each time somebody joins.
+/// A few claims may be new to the whole fleet. Many are old ones that only the receiver missed, and
+/// relaying them would flood a healthy fleet with datagrams at each join.
 const RELAY_LIMIT: usize = 32;
 
-/// Below this size a node takes the whole fleet instead of comparing digests.
+/// Number of known members up to which a node requests all members instead of comparing digests.
 const FULL_SYNC_MEMBERS: usize = 10;
 
-/// The members that a peer knows alive, in the buckets in which the two differ.
+/// The live members of a peer's table in the buckets that differ.
 struct PeerHeaders<'a> {
     head: gossip::GossipHead,
     buckets: u32,
@@ -34,7 +34,7 @@
     headers: &'a [gossip::MemberHeader],
 }
 
-/// Claims of a peer, and the identities whose claims it lacks.
+/// Claims of a peer, and the members whose claims it requests.
 struct PeerClaims<'a> {
     head: gossip::GossipHead,
     updates: &'a [gossip::MemberUpdate],
@@ -42,7 +42,7 @@
 }
 
 impl fleet::FleetState {
-    /// Takes a bulk message of a peer.
+    /// Handles a bulk message of a peer.
     pub fn on_sync(
         &mut self,
         now: time::NodeTime,
@@ -110,14 +110,14 @@
         out
     }
 
-    /// Joins through the node at `address`, beside the seeds and the store's contacts.
+    /// Joins through the node at `address`, in addition to the seeds and the store's contacts.
     pub fn join(&mut self, address: SocketAddr) -> Vec<effect::FleetEffect> {
         let mut out = Vec::new();
         self.join_through(address, &mut out);
         out
     }
 
-    /// Asks a seed to be let in, until any member has answered.
+    /// Sends a join request to a random seed, until a member has answered.
     pub(super) fn join_when_due(
         &mut self,
         now: time::NodeTime,
@@ -134,13 +134,13 @@
         }
     }
 
-    /// Asks the node at `address`, whichever it is, to be let in.
+    /// Sends a join request to the node at `address`, whatever its id.
     pub(super) fn join_through(&mut self, address: SocketAddr, out: &mut Vec<effect::FleetEffect>) {
         let updates = self.claim(self.local).into_iter().collect();
         self.send(address, gossip::GossipKind::Join, updates, out);
     }
 
-    /// Compares digests with a random member.
+    /// Compares digests with a peer.
     pub(super) fn sync_when_due(
         &mut self,
         now: time::NodeTime,
@@ -153,7 +153,7 @@
         self.recent_departures = 0;
         self.timers.mass_departure_sync = None;
         let full_sync = self.table.live() <= FULL_SYNC_MEMBERS;
-        // A node that starts among many that start has only the part that its first peer knew.
+        // A node that starts together with many others knows only the members of its first peer.
         let frequent = full_sync || self.early_syncs > 0;
         let compared = self.roster.is_compared();
         let interval = match (compared, frequent) {
@@ -184,12 +184,13 @@
         self.send_sync(peer, digest, out);
     }
 
-    /// With whom digests are compared next: a random member at first, then one of a few.
+    /// The peer to compare digests with: a random member at first, then one of a few.
     ///
-    /// A bulk message opens a connection that stays. Random partners would make a node of a large
-    /// fleet collect thousands of connections within a day. The members that follow at halved
-    /// distances around the sorted identities are `log2(n)` and seldom change, and news still
-    /// crosses the fleet in as many steps.
+    /// A bulk message opens a connection that stays open. With random peers, a node of a large
+    /// fleet would collect thousands of connections within a day. Instead, the ids form a ring, and
+    /// the peers are the successors at distances of a half, a quarter, an eighth and so on of the
+    /// ring. They are `log2(n)` members that seldom change, and updates still reach the whole fleet
+    /// in `log2(n)` steps.
     fn sync_partner(&mut self) -> Option<ident::NodeId> {
         if self.early_syncs > 0 || self.table.live() <= FULL_SYNC_MEMBERS {
             let drawn = self.table.draw_live(&mut self.choice, &[self.local])?;
@@ -202,10 +203,10 @@
         Some(self.table.successor(from, self.local)?.node)
     }
 
-    /// Notes an end; after many, digests are compared as soon as it has been quiet for a while.
+    /// Counts a departure; after a mass departure, schedules an extra digest exchange.
     ///
-    /// In a zone's loss each claim has less room on the datagrams, so here and there a node misses
-    /// one and would send work to a target that is gone until the next regular exchange.
+    /// When a zone is lost, each claim gets less room on the datagrams, so some nodes miss one.
+    /// Until the next regular exchange, they would send requests to a dead target.
     pub(super) fn note_departure(&mut self, now: time::NodeTime) {
         self.recent_departures += 1;
         if self.recent_departures >= MASS_DEPARTURE_COUNT {
@@ -215,14 +216,14 @@
         }
     }
 
-    /// Forgets the members that were gone long ago.
+    /// Removes the members that departed long ago.
     pub(super) fn trim_when_due(&mut self, now: time::NodeTime) {
         if now < self.timers.trim {
             return;
         }
         self.timers.trim = now + self.config.reconnect_interval;
         if self.joined && self.table.live() == 1 {
-            // Everybody is gone, so nobody will speak to this node first: join anew.
+            // All other members departed, so none will contact this node: join again.
             self.joined = false;
             self.contacts.list_at = now;
         }
@@ -250,7 +251,7 @@
         let pairs = own.iter().zip(sums).enumerate();
         let differing = pairs.filter(|(_, (own, theirs))| own != theirs);
         let differing: Vec<u32> = differing.map(|(index, _)| index as u32).collect();
-        // A newcomer waits to hear that it knows all.
+        // A peer that is not ready waits for the reply that nothing differs.
         if differing.is_empty() && head.ready {
             return;
         }
@@ -329,10 +330,11 @@
         }
     }
 
-    /// The members that a peer claims alive and this node knows to have ended since.
+    /// The members that a peer claims to be alive and that this node knows to have departed.
     ///
-    /// Ended members stand in no digest and no header, so the peer learns of the end only if its
-    /// claim is answered; it would otherwise send work there until its own probe fails.
+    /// Digests and headers do not include departed members, so the peer learns of the departure
+    /// only by an answer to its claim. Otherwise it would send requests to the member until its own
+    /// probe fails.
     fn departed_since(&self, updates: &[gossip::MemberUpdate]) -> Vec<ident::NodeId> {
         let departed = updates.iter().filter(|update| {
             let claimed = (update.incarnation, member::claimed_state(&update.standing));
@@ -344,8 +346,10 @@
         claimed_alive.map(|update| update.node).collect()
     }
 
-    /// Sends the claims about `nodes`, in as many messages as they need, and asks for `wanted`; `last` says
-    /// that the receiver then knows all members that this node knows alive.
+    /// Sends the claims about `nodes` in as many messages as needed, and requests the claims about
+    /// `wanted`.
+    ///
+    /// `last` states that the receiver then knows all members that this node knows to be alive.
     fn send_claims(
         &mut self,
         peer: ident::NodeId,
--- a/crates/anvil_membership/src/health.rs
+++ b/crates/anvil_membership/src/health.rs
@@ -1,37 +1,36 @@
-//! How far this node trusts its own view, after Lifeguard's local health.
+//! The local health score of Lifeguard.
 
 use std::time::Duration;
 
-/// The highest value of the counter; it stretches spans up to nine times.
+/// The highest score; it multiplies timeouts by nine.
 const HEALTH_LIMIT: u32 = 8;
 
-/// Counts signs that this node, rather than its peers, is slow.
+/// A score of how likely it is that this node, rather than its peers, is slow.
 ///
-/// A node that was paused, or whose own connection loses messages, sees every peer fail. Without
-/// this counter it would accuse them all; with it, its probes wait longer the more it fails, and
-/// healthy nodes stay unaccused.
+/// A node that was paused, or whose own connection loses messages, sees every probe fail and would
+/// accuse healthy peers. With each sign of local trouble, its probes therefore wait longer.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LocalHealth {
     score: u32,
 }
 
 impl LocalHealth {
-    /// Notes a sign of trouble on this side.
+    /// Records a sign of trouble of this node.
     pub fn worsen(&mut self) {
         self.score = (self.score + 1).min(HEALTH_LIMIT);
     }
 
-    /// Notes an answer in time.
+    /// Records an ack in time.
     pub fn improve(&mut self) {
         self.score = self.score.saturating_sub(1);
     }
 
-    /// `span` stretched by the trouble noted.
+    /// `span` multiplied by one more than the score.
     pub fn stretch(&self, span: Duration) -> Duration {
         span * (self.score + 1)
     }
 
-    /// The counter, zero where all is well.
+    /// The score; zero if healthy.
     pub fn score(&self) -> u32 {
         self.score
     }
--- a/crates/anvil_membership/src/lib.rs
+++ b/crates/anvil_membership/src/lib.rs
@@ -1,7 +1,8 @@
-//! Which nodes are alive, where they stand, and which rule revision is in force.
+//! Membership and rule distribution: which nodes are alive, where they are, and which rule revision
+//! is in force.
 //!
-//! One [`fleet::FleetState`] answers all of it for one node; nothing in here reads a clock or
-//! opens a socket. See `docs/design/membership.md` and `docs/design/rule-distribution.md`.
+//! [`fleet::FleetState`] is the state machine of one node. The crate reads no clock and opens no
+//! socket. See `docs/design/membership.md` and `docs/design/rule-distribution.md`.
 
 pub mod census;
 pub mod config;
--- a/crates/anvil_membership/src/member.rs
+++ b/crates/anvil_membership/src/member.rs
@@ -1,23 +1,23 @@
-//! One member as this node knows it.
+//! One member of the fleet as this node knows it.
 
 use anvil_types::{ident, time};
 use anvil_wire::gossip;
 
-/// How a member stands, without what belongs to the claim only.
+/// The state of a member; unlike a claim, it carries no facts or accuser.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MemberState {
     /// Alive.
     Alive,
-    /// Accused and not yet refuted.
+    /// Accused, and not refuted yet.
     Suspect,
-    /// Did not refute.
+    /// Dead: it did not refute in time, or another node answered at its address.
     Gone,
-    /// Left by its own word.
+    /// It announced that it left.
     Left,
 }
 
 impl MemberState {
-    /// Whether requests may still go to it.
+    /// Whether requests may still be sent to the member.
     pub fn is_live(self) -> bool {
         matches!(self, Self::Alive | Self::Suspect)
     }
@@ -36,33 +36,34 @@
 /// One member in the table.
 #[derive(Clone, Debug)]
 pub struct MemberRecord {
-    /// The member.
+    /// The member's id.
     pub node: ident::NodeId,
     /// Its incarnation.
     pub incarnation: u32,
-    /// The incarnation that told the facts; a suspicion may arrive before them.
+    /// The incarnation whose facts are held; lower than `incarnation` if a suspicion arrived before
+    /// the facts of its incarnation.
     pub facts_incarnation: u32,
-    /// How it stands.
+    /// Its state.
     pub state: MemberState,
-    /// Datagrams that shall still carry the claim.
+    /// Number of datagrams that the claim is still to be piggybacked on.
     pub relays: u8,
-    /// The claim's place in the queue of claims to repeat.
+    /// The serial of the claim's valid entry in the relay queue.
     pub relay_serial: u32,
     /// When its state last changed.
     pub since: time::NodeTime,
-    /// The rule revision it last told this node itself; zero where it never did.
+    /// The latest rule revision in the member's own messages to this node; zero if there were none.
     pub revision: ident::RuleRevision,
-    /// What it told about itself.
+    /// The facts that it announced about itself.
     pub facts: gossip::MemberFacts,
 }
 
 impl MemberRecord {
-    /// The place of the present claim in the order of claims.
+    /// The precedence of the current claim; a claim with a higher rank replaces it.
     pub fn rank(&self) -> (u32, MemberState) {
         (self.incarnation, self.state)
     }
 
-    /// The member as the other state modules see it.
+    /// The member as the other parts of the node see it.
     pub fn view(&self) -> MemberView {
         MemberView {
             node: self.node,
@@ -74,17 +75,17 @@
     }
 }
 
-/// A member that is alive, as routing and the operators see it.
+/// A live member, as routing and operators see it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberView {
-    /// The member.
+    /// The member's id.
     pub node: ident::NodeId,
-    /// What it told about itself.
+    /// The facts that it announced about itself.
     pub facts: gossip::MemberFacts,
-    /// Whether it stands accused; new work had better go elsewhere.
+    /// Whether it is suspect; new requests should prefer other members.
     pub suspected: bool,
-    /// The rule revision it last told this node itself; zero where it never did.
+    /// The latest rule revision in the member's own messages to this node; zero if there were none.
     pub revision: ident::RuleRevision,
-    /// Which of its announcements told the facts.
+    /// The incarnation whose facts are held.
     pub facts_incarnation: u32,
 }
--- a/crates/anvil_membership/src/names.rs
+++ b/crates/anvil_membership/src/names.rs
@@ -1,11 +1,11 @@
-//! One copy of each name, however many members carry it.
+//! Interned names, one copy of each.
 
 use anvil_types::name;
 
-/// Most names of each kind that a node keeps; 730 services stand far below.
+/// Maximum number of names of each kind; a large fleet has 730 services.
 pub const NAMES_LIMIT: usize = 8_192;
 
-/// A sorted list that hands out shared copies of equal names.
+/// A sorted list of names, which returns a shared copy for equal names.
 #[derive(Clone, Debug)]
 pub struct NamePool<Name> {
     names: Vec<Name>,
@@ -21,10 +21,10 @@
 where
     Name: Ord + Clone,
 {
-    /// The kept copy of `name`, or none where the pool is full.
+    /// The interned copy of `name`, or none if the pool is full.
     ///
-    /// Each decoded message brings its own copy of a name; kept as they come, 14,000 members would
-    /// hold 42,000 strings, and a peer could make them arbitrarily many.
+    /// Each decoded message contains its own copies of names. Without interning, 14,000 members
+    /// would hold 42,000 strings; without the limit, a faulty peer could add names without bound.
     pub fn intern(&mut self, name: &Name) -> Option<Name> {
         match self.names.binary_search(name) {
             Ok(index) => Some(self.names[index].clone()),
@@ -37,7 +37,7 @@
     }
 }
 
-/// The pools of all names that member facts hold.
+/// The pools of all names in member facts.
 #[derive(Clone, Debug, Default)]
 pub struct FactNames {
     /// Services.
--- a/crates/anvil_membership/src/probe.rs
+++ b/crates/anvil_membership/src/probe.rs
@@ -1,13 +1,13 @@
-//! One probe at a time, and the probes that this node carries out for others.
+//! This node's own probe, one at a time, and the pings that it relays for other nodes.
 
 use anvil_types::{ident, time};
 
 use crate::{config, health, random};
 
-/// Probes for others that are out at once; further ones are not taken.
+/// Number of relayed pings that may be pending at once; further requests are dropped.
 const RELAYED_LIMIT: usize = 64;
 
-/// How far a probe has come.
+/// The progress of a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ProbeStep {
     Sent,
@@ -15,7 +15,7 @@
     Indirect,
 }
 
-/// The probe that is out.
+/// The pending probe.
 #[derive(Clone, Debug)]
 struct OpenProbe {
     target: ident::NodeId,
@@ -26,7 +26,7 @@
     nacks: usize,
 }
 
-/// A ping sent for another node.
+/// A ping that was sent for another node.
 #[derive(Clone, Debug)]
 struct RelayedProbe {
     number: u32,
@@ -40,31 +40,32 @@
 pub enum ProbeAction {
     /// Ping `target`.
     Ping {
-        /// Whom.
+        /// The member to ping.
         target: ident::NodeId,
         /// The probe's number.
         number: u32,
     },
-    /// Ask helpers to ping `target`.
+    /// Request indirect pings of `target` from helpers.
     PingIndirectly {
-        /// Whom.
+        /// The member to ping.
         target: ident::NodeId,
         /// The probe's number.
         number: u32,
     },
     /// The period passed without an answer.
     Failed {
-        /// Who did not answer.
+        /// The member that did not answer.
         target: ident::NodeId,
-        /// Whether helpers were asked and none sent a word either, which speaks against this node.
-        /// A few silent ones don't: in a zone's loss many helpers are among the lost.
+        /// Whether indirect pings were requested and none of the helpers sent a nack, which
+        /// suggests that this node is at fault. Some silent helpers do not: when a zone is lost,
+        /// many helpers are lost with it.
         helpers_silent: bool,
     },
-    /// Tell `asker` that its probe failed from here too.
+    /// Notify `requester` that the member did not answer this node either.
     Nack {
-        /// Who asked.
+        /// The node that requested the ping.
         requester: ident::NodeId,
-        /// The asker's number of the probe.
+        /// The requester's number of the probe.
         probe: u32,
     },
     /// The next period begins; choose a target.
@@ -78,17 +79,17 @@
     Alive,
     /// Another node answered at the address of `target`.
     Replaced {
-        /// Who was expected there.
+        /// The member that was expected there.
         target: ident::NodeId,
     },
-    /// Carried out for `asker`, which waits for the word.
+    /// The ping was relayed for `requester`, which waits for the ack.
     Relay {
-        /// Who asked.
+        /// The node that requested the ping.
         requester: ident::NodeId,
-        /// The asker's number of the probe.
+        /// The requester's number of the probe.
         probe: u32,
     },
-    /// Too late, or to no probe of this node.
+    /// The ack is late, or matches no probe of this node.
     Unmatched,
 }
 
@@ -103,7 +104,7 @@
 }
 
 impl ProbeState {
-    /// Starts with the first turn at `turn`.
+    /// Starts with the first probe at `next_period_at`.
     pub fn new(next_period_at: time::NodeTime) -> Self {
         Self {
             last_number: 0,
@@ -114,16 +115,17 @@
         }
     }
 
-    /// A fresh number for a ping.
+    /// A new number for a ping.
     pub fn next_number(&mut self) -> u32 {
         self.last_number = self.last_number.wrapping_add(1);
         self.last_number
     }
 
-    /// Takes the next of `candidates`, each once in a round, in a new random order each round.
+    /// Takes the next target of the round; `refill` supplies the members of a new round, which are
+    /// shuffled.
     ///
-    /// Random draws alone would leave some member of a small fleet unprobed for long; the round
-    /// bounds that by the size of the fleet.
+    /// Independent random draws could leave a member unprobed for a long time; with rounds, that
+    /// time is bounded by the size of the fleet.
     pub fn next_target<Refill>(
         &mut self,
         choice: &mut random::ChoiceSource,
@@ -139,9 +141,9 @@
         self.round.pop()
     }
 
-    /// Puts a newcomer at a random place of the round.
+    /// Inserts a new member at a random position of the current round.
     ///
-    /// A round of a large fleet lasts hours; a newcomer that waited for the next one would crash
+    /// A round of a large fleet takes hours; until the next one, a crash of the new member would go
     /// unnoticed.
     pub fn insert(&mut self, node: ident::NodeId, choice: &mut random::ChoiceSource) {
         if self.round.is_empty() {
@@ -153,7 +155,7 @@
         self.round.swap(last, index);
     }
 
-    /// Opens a probe of `target` and gives its number.
+    /// Opens a probe of `target` and returns its number.
     pub fn open(&mut self, target: ident::NodeId, now: time::NodeTime) -> u32 {
         let number = self.next_number();
         self.open = Some(OpenProbe {
@@ -167,19 +169,19 @@
         number
     }
 
-    /// Notes how many helpers were asked for the open probe.
+    /// Records how many helpers were requested to ping the target of the open probe.
     pub fn set_helpers(&mut self, helpers: usize) {
         if let Some(open) = &mut self.open {
             open.helpers = helpers;
         }
     }
 
-    /// Gives up the open probe without a verdict.
+    /// Drops the open probe without a result.
     pub fn cancel(&mut self) {
         self.open = None;
     }
 
-    /// Starts a ping for `asker` and gives its number, or none where too many are out.
+    /// Opens a ping for `requester` and returns its number, or none if too many are pending.
     pub fn relay(
         &mut self,
         requester: ident::NodeId,
@@ -199,7 +201,7 @@
         Some(number)
     }
 
-    /// Takes an answer of `of` to the ping `probe`.
+    /// Handles an ack of `of` to the ping `probe`.
     pub fn on_ack(&mut self, probe: u32, of: ident::NodeId) -> ProbeAnswer {
         if let Some(open) = self.open.take_if(|open| open.number == probe) {
             let target = open.target;
@@ -218,14 +220,14 @@
         }
     }
 
-    /// Notes that a helper got no answer either.
+    /// Records that a helper received no ack either.
     pub fn on_nack(&mut self, probe: u32) {
         if let Some(open) = self.open.as_mut().filter(|open| open.number == probe) {
             open.nacks += 1;
         }
     }
 
-    /// What is due at `now`.
+    /// The actions that are due at `now`.
     pub fn on_wake(
         &mut self,
         now: time::NodeTime,
@@ -247,7 +249,7 @@
         actions
     }
 
-    /// When something is due next.
+    /// When the next action is due.
     pub fn next_wake(
         &self,
         config: &config::FleetConfig,
--- a/crates/anvil_membership/src/proposal.rs
+++ b/crates/anvil_membership/src/proposal.rs
@@ -1,61 +1,61 @@
-//! An operator's change on its way into the store's log.
+//! The proposal of an operator's change: writing it to the rule log in the store.
 
 use std::time::Duration;
 
 use anvil_types::{backoff, time};
 use anvil_wire::gossip;
 
-/// Time after which a change whose fate can't be read is given up as unknown.
+/// Time after which a proposal ends, with an unknown outcome if the change may have been written.
 pub const RESOLVE_LIMIT: Duration = Duration::from_secs(20);
 
-/// Attempts at a change that the store proved not to have written.
+/// Number of attempts to write a change that the store is known not to have written.
 pub const UNAVAILABLE_LIMIT: u32 = 4;
 
 const PAUSE_FIRST: Duration = Duration::from_millis(200);
 const PAUSE_LIMIT: Duration = Duration::from_secs(2);
 
-/// What the proposal does next.
+/// The next step of a proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProposalStep {
-    /// Write the change where nothing stands yet.
+    /// Write the change, if there is no entry for its revision yet.
     Write,
-    /// Read what stands at its place.
+    /// Read the entry of its revision.
     Read,
 }
 
-/// How a proposal ended.
+/// The outcome of a proposal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ProposalOutcome {
-    /// The change stands in the log.
+    /// The change is in the log.
     Accepted,
-    /// Another change stands at its place.
+    /// Another change made the same revision.
     Conflict {
         /// The other change.
         other: gossip::LoggedChange,
     },
-    /// The store could not be reached; the change was not written.
+    /// The store was unavailable; the change was not written.
     Unavailable,
-    /// The store's answers were lost; the change may have been written.
+    /// The store's responses were lost; the change may have been written.
     Unknown,
 }
 
-/// One change being written.
+/// A change that is being written.
 #[derive(Clone, Debug)]
 pub struct OpenProposal {
     /// The change, with the revision that it would make.
     pub change: gossip::LoggedChange,
-    /// What to do next, and when; none while a question is out.
+    /// The next step and when it is due; none while a request is pending.
     pub next: Option<(time::NodeTime, ProposalStep)>,
-    /// Whether any write may have taken effect unseen.
+    /// Whether a write may have taken effect although its response was lost.
     pub uncertain: bool,
-    /// When it is given up.
+    /// When the proposal is abandoned.
     pub deadline: time::NodeTime,
     /// Pauses between attempts.
     pub backoff: backoff::RetryBackoff,
 }
 
 impl OpenProposal {
-    /// Begins at once.
+    /// Starts a proposal whose first write is due at `now`.
     pub fn new(change: gossip::LoggedChange, now: time::NodeTime) -> Self {
         Self {
             change,
--- a/crates/anvil_membership/src/random.rs
+++ b/crates/anvil_membership/src/random.rs
@@ -1,4 +1,4 @@
-//! Seeded randomness for choices among members.
+//! Seeded random choices among members.
 
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -13,12 +13,12 @@
         Self(Pcg64Mcg::seed_from_u64(seed))
     }
 
-    /// Any number.
+    /// A random 64-bit number.
     pub fn any(&mut self) -> u64 {
         self.0.next_u64()
     }
 
-    /// A number below `bound`, or zero where `bound` is zero.
+    /// A random number below `bound`, or zero if `bound` is zero.
     pub fn below(&mut self, bound: usize) -> usize {
         if bound == 0 {
             return 0;
@@ -27,7 +27,7 @@
         (wide >> u64::BITS) as usize
     }
 
-    /// A number below `bound` microseconds, as a span.
+    /// A random duration below `bound`, in whole microseconds.
     pub fn span(&mut self, bound: std::time::Duration) -> std::time::Duration {
         let micros = usize::try_from(bound.as_micros()).unwrap_or(usize::MAX);
         std::time::Duration::from_micros(self.below(micros) as u64)
--- a/crates/anvil_membership/src/relay.rs
+++ b/crates/anvil_membership/src/relay.rs
@@ -1,4 +1,4 @@
-//! Which claims still ride on datagrams.
+//! The queue of claims to piggyback on datagrams.
 
 use std::collections::VecDeque;
 
@@ -6,38 +6,38 @@
 
 use crate::{member, table};
 
-/// Encoded size of a claim without facts, in bytes, rounded up.
+/// Upper bound of the encoded size of a claim without facts, in bytes.
 const SHORT_CLAIM_BYTES: usize = 28;
 
-/// Encoded size of the facts without their names, in bytes, rounded up.
+/// Upper bound of the encoded size of the facts without their names, in bytes.
 const FACTS_BYTES: usize = 56;
 
-/// Stale places, beyond one for each member, that the queue may hold before it is swept.
+/// Number of entries, beyond two per member, above which stale entries are removed from the queue.
 const STALE_LIMIT: usize = 64;
 
-/// A place in the queue; stale where the member was queued again since.
+/// An entry of the queue; it is stale if the member was queued again later.
 #[derive(Clone, Copy, Debug)]
 struct RelayEntry {
     node: ident::NodeId,
     serial: u32,
 }
 
-/// Members whose present claim has datagrams left to ride on, the least told first.
+/// Members whose current claim is still to be piggybacked, the least often sent first.
 ///
-/// The queue holds identities only and the claim is read from the table when it is sent, so only
-/// the newest claim about a member travels. Claims told less go first: behind a backlog, such as
-/// that of a mass join, a leaving announcement would otherwise wait for many seconds.
+/// The queue holds node ids, and the claim is read from the table when it is sent, so only the
+/// latest claim about a member is sent. Without the order by the number of sends, an announcement
+/// that a member leaves would wait for many seconds behind a backlog, such as that of a mass join.
 #[derive(Clone, Debug, Default)]
 pub struct RelayQueue {
-    /// Places by the number of datagrams that carried the claim.
+    /// Entries by the number of datagrams that have carried the claim.
     levels: Vec<VecDeque<RelayEntry>>,
     entries: usize,
     last_serial: u32,
 }
 
 impl RelayQueue {
-    /// Lets the present claim about `node` ride on `relays` more datagrams; ahead of all others
-    /// where it is `urgent`.
+    /// Queues the current claim about `node` for `relays` datagrams, ahead of all others if it is
+    /// `urgent`.
     pub fn push(
         &mut self,
         table: &mut table::MemberTable,
@@ -59,14 +59,13 @@
         } else {
             self.enqueue(0, entry);
         }
-        // Without the sweep, claims that replace one another fast would let the queue outgrow the
-        // table.
+        // Claims that quickly replace one another would otherwise let the queue outgrow the table.
         if self.entries > 2 * table.all().len() + STALE_LIMIT {
             self.remove_stale(table);
         }
     }
 
-    /// Takes the identities whose claims go on one datagram of at most `bytes` of updates.
+    /// Takes the members whose claims fit on one datagram with at most `bytes` of updates.
     pub fn take(&mut self, table: &mut table::MemberTable, bytes: usize) -> Vec<ident::NodeId> {
         let mut taken = Vec::new();
         let mut remaining_bytes = bytes;
@@ -115,12 +114,12 @@
         self.entries = self.levels.iter().map(VecDeque::len).sum();
     }
 
-    /// Members that wait.
+    /// Number of entries, including stale ones.
     pub fn len(&self) -> usize {
         self.entries
     }
 
-    /// Whether nothing waits.
+    /// Whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.entries == 0
     }
@@ -131,7 +130,7 @@
     record.is_some_and(|r| r.relay_serial == entry.serial && r.relays > 0)
 }
 
-/// Upper bound of the encoded claim about `record`, in bytes.
+/// Upper bound of the encoded size of the claim about `record`, in bytes.
 pub fn claim_bytes(record: &member::MemberRecord) -> usize {
     if record.state != member::MemberState::Alive {
         return SHORT_CLAIM_BYTES;
--- a/crates/anvil_membership/src/roster.rs
+++ b/crates/anvil_membership/src/roster.rs
@@ -1,42 +1,45 @@
-//! Whether the members that a fresh node knows were compared with a peer that knows the fleet.
+//! Whether a starting node has compared its members with a peer that knows the fleet.
 
 use std::time::Duration;
 
 use anvil_types::{ident, time};
 
-/// Peers that are as fresh as this node and that it compares with before it takes their common
-/// knowledge for all there is, if none of them knew of anybody more; whole fleets start together too.
+/// Number of peers, all still starting themselves, after whose comparison a node accepts their
+/// common members as the fleet if no comparison added a member.
+///
+/// Whole fleets start together too; without this rule, their nodes would become ready only after
+/// [`COMPARE_TIMEOUT`].
 pub const NEWCOMERS_COMPARED: usize = 3;
 
-/// Time after which a fresh node asks another peer for its members.
+/// Interval at which a starting node compares its members with another peer.
 pub const COMPARE_RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Longest wait for a comparison, from the first sign of others on.
+/// Maximum time to wait for a comparison after the first sign of other nodes.
 pub const COMPARE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Longest wait for a first sign of others where the store names nobody.
+/// Maximum time to wait for a first sign of other nodes if the store lists no contacts.
 ///
-/// A store that came back from an older copy has lost the entries of all contacts. Their nodes learn of
-/// it within two seconds and enter themselves again.
+/// A store that was restored from an older copy has lost the entries of all contacts. The contacts
+/// detect that within two seconds and write their entries again.
 pub const EMPTY_LIST_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Whether the members that a fresh node knows were compared.
+/// Whether the members that a starting node knows were compared with the fleet.
 ///
-/// Failure: a node joins through another one that has just started, which knows a part of the fleet.
-/// Symptom: callers are refused services that dozens of targets offer, until the next exchange of
-/// digests seconds later. A peer that serves has compared its own members, so one exchange with it is
-/// enough.
+/// A node may join through a peer that has just started itself and knows only a part of the fleet.
+/// It would then refuse requests for services that dozens of targets offer, until the next digest
+/// exchange seconds later. A ready peer has compared its own members, so one exchange with it
+/// suffices.
 #[derive(Clone, Debug)]
 pub struct RosterCheck {
     compared: bool,
     newcomers: Vec<ident::NodeId>,
-    /// Members known at the last comparison with one of these.
+    /// Number of known members at the last comparison with one of these.
     known: usize,
     deadline: Option<time::NodeTime>,
 }
 
 impl RosterCheck {
-    /// Waits for a comparison; a node that is `alone` has none to wait for.
+    /// Waits for a comparison, unless the node is `alone`: without a store and without seeds.
     pub fn new(alone: bool) -> Self {
         Self {
             compared: alone,
@@ -46,41 +49,42 @@
         }
     }
 
-    /// Whether the members known are those of the fleet, as far as this node can find out.
+    /// Whether the comparison is done or its deadline has passed.
     pub fn is_compared(&self) -> bool {
         self.compared
     }
 
-    /// Peers that answered and do not know the fleet either.
+    /// Peers that were compared with and are still starting themselves.
     pub fn newcomers(&self) -> &[ident::NodeId] {
         &self.newcomers
     }
 
-    /// Notes the first sign of others, from which the wait for them is counted.
+    /// Records the first sign of other nodes, from which [`COMPARE_TIMEOUT`] is counted.
     pub fn expect_others(&mut self, now: time::NodeTime) {
         self.deadline.get_or_insert(now + COMPARE_TIMEOUT);
     }
 
-    /// Notes that the store names nobody, which it also does for a moment when it has lost the entries.
+    /// Records that the store lists no contacts, from which [`EMPTY_LIST_TIMEOUT`] is counted.
     ///
-    /// Failure: the store comes back from an older copy and a node starts. Symptom: it finds nobody and
-    /// serves by the older rules that stand there, which its peers have left behind.
+    /// A store that was restored from an older copy also lists none for a moment. A node that
+    /// starts then would take itself for the only one, and serve by the older rules of that copy.
     pub fn expect_empty_list(&mut self, now: time::NodeTime) {
         self.deadline.get_or_insert(now + EMPTY_LIST_TIMEOUT);
     }
 
-    /// Notes that nothing is missing, or that nobody is there to tell.
+    /// Ends the check: no member is missing, or no peer answered in time.
     pub fn finish(&mut self) {
         self.compared = true;
         self.newcomers.clear();
         self.deadline = None;
     }
 
-    /// Notes a comparison with a peer that does not know the fleet either, after which `known` members
+    /// Records a comparison with a peer that is still starting itself, after which `known` members
     /// are known.
     ///
-    /// Failure: two nodes that started a moment ago know only each other. Symptom: both take that for the
-    /// fleet, and refuse what all others offer.
+    /// One such comparison must not end the check: two nodes that have just started and know only
+    /// each other would both accept that as the fleet, and refuse requests for the services of all
+    /// others.
     pub fn note_newcomer(&mut self, peer: ident::NodeId, known: usize) {
         if known > self.known {
             self.newcomers.clear();
@@ -91,7 +95,7 @@
         }
     }
 
-    /// When the wait is over.
+    /// When the deadline of the check passes.
     pub fn next_wake(&self) -> Option<time::NodeTime> {
         self.deadline.filter(|_| !self.compared)
     }
--- a/crates/anvil_membership/src/rule_log.rs
+++ b/crates/anvil_membership/src/rule_log.rs
@@ -1,28 +1,28 @@
-//! The accepted changes that a node holds, in order and without a gap.
+//! The accepted rule changes that a node holds, in order and without gaps.
 
 use std::collections::VecDeque;
 
 use anvil_types::ident;
 use anvil_wire::gossip;
 
-/// Most changes kept to hand on to peers that missed them: 47 minutes of 31,000 a day.
+/// Maximum number of changes retained for peers that missed them: 47 minutes at 31,000 a day.
 const MAX_TAIL_CHANGES: usize = 1_024;
 
-/// Most bytes of changes kept.
+/// Maximum size of the retained changes, in bytes.
 const MAX_TAIL_BYTES: usize = 1_048_576;
 
-/// How an offered change stands to those held.
+/// The position of an offered change relative to the changes held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OfferPosition {
     /// It is the next one.
     Next,
     /// It is held already.
     Old,
-    /// Others are missing before it.
+    /// Changes before it are missing.
     Gap,
 }
 
-/// The revision held and the last changes up to it.
+/// The revision held, and the last changes up to it.
 #[derive(Clone, Debug, Default)]
 pub struct RuleLog {
     held: ident::RuleRevision,
@@ -32,7 +32,7 @@
 }
 
 impl RuleLog {
-    /// The revision held; it only rises.
+    /// The revision held; it never decreases.
     pub fn held(&self) -> ident::RuleRevision {
         self.held
     }
@@ -47,7 +47,7 @@
         self.tail.iter()
     }
 
-    /// How a change of `revision` stands to those held.
+    /// The position of a change that makes `revision` relative to the changes held.
     pub fn position(&self, revision: ident::RuleRevision) -> OfferPosition {
         let next = self.held.0.saturating_add(1);
         match revision.0 {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Takes the next change; tells whether it was the next one.
+    /// Appends a change and returns true, if it is the next one.
     pub fn push(&mut self, change: &gossip::LoggedChange) -> bool {
         if self.position(change.revision) != OfferPosition::Next {
             return false;
@@ -75,9 +75,9 @@
         true
     }
 
-    /// Takes a snapshot in place of the changes up to it; tells whether it was newer.
+    /// Replaces the changes by a snapshot and returns true, if it is newer than the revision held.
     ///
-    /// An older one would undo accepted changes, so it is refused, whoever sends it.
+    /// An older snapshot would undo accepted changes, so it is rejected.
     pub fn install_snapshot(&mut self, snapshot: &gossip::LoggedChange) -> bool {
         if snapshot.revision <= self.held {
             return false;
@@ -89,7 +89,7 @@
         true
     }
 
-    /// The changes behind `after`; none where the tail doesn't reach back that far.
+    /// The changes after `after`, or none if some of them are no longer retained.
     pub fn since(&self, after: ident::RuleRevision) -> Option<Vec<gossip::LoggedChange>> {
         let missing = usize::try_from(self.held.0.saturating_sub(after.0)).ok()?;
         let start = self.tail.len().checked_sub(missing)?;
--- a/crates/anvil_membership/src/rumour_budget.rs
+++ b/crates/anvil_membership/src/rumour_budget.rs
@@ -1,4 +1,4 @@
-//! The budget of rumours.
+//! The rate limit of rumours.
 
 use std::time::Duration;
 
@@ -6,17 +6,17 @@
 
 use crate::config;
 
-/// Shortest time between two rumours of changed rules that go beside the budget.
+/// Minimum time between two rumours of changed rules that bypass the token budget.
 const CHANGE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Rumours kept for ends and leavings; a storm of joins may not use them up.
+/// Tokens reserved for urgent rumours, so that a mass join cannot use up the budget.
 const RESERVED_TOKENS: u32 = 2;
 
-/// Whether a rumour is wanted, and how many may go.
+/// The rumours that are requested, and a token bucket that limits them.
 ///
-/// A change pushed at once reaches the fleet in a few hops instead of a few periods. The budget
-/// keeps a storm of changes, such as a zone's loss, from becoming a storm of datagrams: what finds
-/// no budget rides on the next rumour or on the probes.
+/// A rumour that is sent immediately reaches the fleet in a few hops instead of a few probe
+/// intervals. The budget keeps many simultaneous changes, such as the loss of a zone, from causing
+/// a flood of datagrams; updates without a token are piggybacked on the next rumour or on probes.
 #[derive(Clone, Debug)]
 pub struct RumourBudget {
     requested: u8,
@@ -42,31 +42,32 @@
         }
     }
 
-    /// Wants a rumour.
+    /// Requests a rumour.
     pub fn request(&mut self) {
         self.requested = self.requested.max(1);
     }
 
-    /// Wants two rumours, one behind the other.
+    /// Requests two consecutive rumours, which may use the reserved tokens.
     ///
-    /// One rumour of each node to four others misses one member in fifty, which then hears with
-    /// the probes, seconds later. An end or a leaving must not wait for that: work would go to a
-    /// target that refuses it. Two rumours miss one in three thousand.
+    /// If each node sends one rumour to four others, one member in fifty is missed and receives the
+    /// update with a probe seconds later. For a departure or a refutation that is too late:
+    /// requests would be sent to a target that refuses them. Two rumours miss one member in three
+    /// thousand.
     pub fn request_urgent(&mut self) {
         self.requested = 2;
         self.urgent = true;
     }
 
-    /// Wants two rumours of changed rules, of which the first waits for no budget.
+    /// Requests two rumours of changed rules, the first of which bypasses the token budget.
     ///
-    /// Failure: members vanish, and the news of it uses the budget up while operators change a rule.
-    /// Symptom: requests are treated by the old rules for a second longer at each node on the way.
+    /// If the departures of many members use up the budget while an operator changes a rule, each
+    /// hop of the change would otherwise take up to a second longer.
     pub fn request_change(&mut self) {
         self.change_requested = true;
         self.request();
     }
 
-    /// Whether a rumour goes now.
+    /// Takes one requested rumour, if it may be sent now.
     pub fn try_take(&mut self, config: &config::FleetConfig, now: time::NodeTime) -> bool {
         self.refill(config, now);
         if self.change_requested && now >= self.next_change_at {
@@ -84,7 +85,7 @@
         true
     }
 
-    /// When a wanted rumour may go that found no budget.
+    /// When a requested rumour that was held back may be sent.
     pub fn next_wake(&self) -> Option<time::NodeTime> {
         let change = self.change_requested.then_some(self.next_change_at);
         let others = (self.requested > 0).then_some(self.next_refill_at);
--- a/crates/anvil_membership/src/snapshot.rs
+++ b/crates/anvil_membership/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! A snapshot of the rules on its way into the store, and the removal of what it makes needless.
+//! Writing a snapshot of the rules to the store, and removing the entries that it replaces.
 
 use std::time::Duration;
 
@@ -9,46 +9,46 @@
 const PAUSE_FIRST: Duration = Duration::from_secs(1);
 const PAUSE_LIMIT: Duration = Duration::from_secs(30);
 
-/// What is done next; each step may be repeated after a lost answer.
+/// A step of writing a snapshot; each may be repeated after a lost response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SnapshotStep {
-    /// Read the present manifest, to see whether another node was faster.
+    /// Read the current manifest, to check whether another node has already written a snapshot.
     Check,
-    /// The reducer encodes the rules.
+    /// Wait for the reducer to encode the rules.
     Encode,
     /// Write one chunk.
     Chunk {
-        /// Which.
+        /// The index of the chunk.
         next: u32,
     },
-    /// Put the manifest in place.
+    /// Write the manifest.
     Publish,
-    /// Read the log's oldest entries.
+    /// List the oldest entries of the log.
     ListLog,
-    /// Read the oldest chunk behind a key.
+    /// List the oldest chunk after a key.
     ListChunks {
-        /// The last chunk looked at.
+        /// The key of the last chunk that was checked.
         after: Option<store::StoreKey>,
     },
-    /// Remove an entry, then read on.
+    /// Remove an entry, then continue with the next one.
     Remove {
-        /// Which.
+        /// The key of the entry.
         entry: store::StoreKey,
-        /// The write that made it.
+        /// The version of the entry.
         version: store::StoreVersion,
-        /// Entries to remove behind it.
+        /// The entries to remove after it.
         rest: Vec<(store::StoreKey, store::StoreVersion)>,
-        /// The step behind the last removal.
+        /// The step after the last removal.
         then: Box<SnapshotStep>,
     },
 }
 
-/// One snapshot being written.
+/// A snapshot that is being written.
 #[derive(Clone, Debug)]
 pub struct SnapshotWrite {
-    /// What is done next.
+    /// The current step.
     pub step: SnapshotStep,
-    /// What must stand at the manifest's key.
+    /// The condition on the current manifest under which the new one is written.
     pub base: store::SwapBase,
     /// The manifest to publish.
     pub manifest: Option<gossip::SnapshotManifest>,
@@ -56,12 +56,12 @@
     pub body: Bytes,
 }
 
-/// Whether and when this node writes snapshots.
+/// When this node writes its next snapshot, and the one being written.
 #[derive(Clone, Debug)]
 pub struct SnapshotState {
-    /// The revision at which the next snapshot is tried.
+    /// The revision at which the next snapshot is started.
     pub next_revision: ident::RuleRevision,
-    /// The snapshot being written, while no question is out.
+    /// The snapshot being written, if any.
     pub open: Option<SnapshotWrite>,
     /// When the next step is due.
     pub due: Option<time::NodeTime>,
@@ -70,7 +70,7 @@
 }
 
 impl SnapshotState {
-    /// Tries the first snapshot at `wanted_at`.
+    /// Starts the first snapshot at `next_revision`.
     pub fn new(next_revision: ident::RuleRevision) -> Self {
         Self {
             next_revision,
--- a/crates/anvil_membership/src/spread.rs
+++ b/crates/anvil_membership/src/spread.rs
@@ -1,4 +1,4 @@
-//! What a node knows about the rules in force, and how it learns more.
+//! The state of rule distribution: the rules that a node holds, and how it obtains newer ones.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,134 +8,141 @@
 
 use crate::{proposal, rule_log};
 
-/// Ready members whose revisions a newcomer compares with when the store can't be read.
+/// Number of ready members whose revisions a starting node compares with its own if the store can't
+/// be read.
 pub const PEERS_COMPARED: usize = 3;
 
-/// Time in which a newcomer first learns from peers before it reads the store.
+/// Time after the start before the store is read, so that a node can first obtain the rules from
+/// peers.
 pub const STORE_READ_DELAY: Duration = Duration::from_millis(1_500);
 
-/// Time after which a node without a store and without ready peers begins on its own.
+/// Time after which a node without a store and without ready peers becomes ready on its own.
 pub const STANDALONE_DELAY: Duration = Duration::from_secs(2);
 
-/// Time after which a pull is sent again.
+/// Time after which a pull request is sent again.
 pub const PULL_RETRY: Duration = Duration::from_millis(300);
 
-/// Longest wait of one watch.
+/// Maximum duration of a watch of the rule log.
 pub const WATCH_WAIT: Duration = Duration::from_secs(25);
 
-/// Changes read at once.
+/// Maximum number of changes read by one request.
 pub const READ_LIMIT: u32 = 64;
 
-/// Changes between two snapshots: the log stays below this, a random part and the kept ones.
+/// Number of changes between two snapshots; the log holds at most these, a random extra share of
+/// them and the retained ones.
 pub const SNAPSHOT_EVERY: u64 = 512;
 
-/// Changes that stay in the log behind a snapshot, for readers that are just behind.
+/// Number of changes up to a snapshot that stay in the log, for readers that lag slightly.
 pub const RETAINED_LOG_CHANGES: u64 = 256;
 
-/// Bytes of one chunk of a snapshot, half of what the store holds in a value.
+/// Size of a snapshot chunk in bytes, half of the store's limit for a value.
 pub const CHUNK_BYTES: usize = store::VALUE_LIMIT / 2;
 
-/// Most chunks of a snapshot that a reader takes.
+/// Maximum number of chunks of a snapshot that is read.
 pub const CHUNK_LIMIT: u32 = 32;
 
 const PAUSE_FIRST: Duration = Duration::from_secs(1);
 const PAUSE_LIMIT: Duration = Duration::from_secs(10);
 
-/// Longest wait of one watch of a key that holds the whole rules. A connection that went silent is
-/// noticed after it and one more second, and until then a change comes from the peers.
+/// Maximum duration of a watch of the rule document.
+///
+/// A silent connection is detected one second after it; until then, changes arrive through peers.
 pub const DOCUMENT_WATCH_WAIT: Duration = Duration::from_millis(2_500);
 
-/// Nodes of each zone that watch such a key; the others hear of a change from them. Two, so that the
-/// loss of one goes unnoticed; each costs a call in two and a half seconds.
+/// Number of nodes of each zone that watch the rule document; the others receive changes from them.
+///
+/// Two, so that the loss of one has no effect; each costs one call every two and a half seconds.
 pub const DOCUMENT_WATCHERS: usize = 2;
 
-/// Time between two looks at the key by nodes that do not watch it, over the whole fleet.
+/// Average interval of polls of the rule document by nodes that do not watch it, over the whole
+/// fleet.
 ///
-/// Failure: all that watch vanish at once, or the store turns just these away. Symptom: a change waits
-/// until membership has found them gone, some seconds later. The others look now and then, the more
-/// seldom the more they are, so the calls do not grow with the fleet.
+/// If all watchers crash at once, or the store rejects just their calls, a change would go
+/// unnoticed until membership replaces them, some seconds later. The other nodes therefore poll,
+/// each at an interval proportional to the fleet size, so that the call rate does not grow with the
+/// fleet.
 pub const DOCUMENT_POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The wait of such a look: it only asks whether something is newer.
+/// Duration of the watch that makes up a poll, which only checks for a newer version.
 pub const DOCUMENT_POLL_WAIT: Duration = Duration::from_millis(1);
 
-/// First and longest pause after a failed read of such a key; the longest is below the two seconds
-/// within which operators expect a change to be in force.
+/// First and longest pause after a failed read of the rule document; the longest is below the two
+/// seconds within which operators expect a change to be in force.
 const DOCUMENT_BACKOFF: (Duration, Duration) =
     (Duration::from_millis(300), Duration::from_millis(1_200));
 
-/// Pauses after failures of the store where one key holds the whole rules.
+/// The backoff of reads of the rule document.
 pub fn document_backoff() -> backoff::RetryBackoff {
     let (first, longest) = DOCUMENT_BACKOFF;
     backoff::RetryBackoff::new(first, longest)
 }
 
-/// A pull from a member that holds more.
+/// A pull request to a member that holds newer rules.
 #[derive(Clone, Copy, Debug)]
 pub struct OpenPull {
-    /// Whom it was sent to.
+    /// The address that it was sent to.
     pub from: SocketAddr,
-    /// The revision that member holds.
+    /// The revision that this member holds.
     pub revision: ident::RuleRevision,
-    /// When it is sent again.
+    /// When the request is sent again.
     pub retry_at: time::NodeTime,
 }
 
-/// A snapshot being read from the store.
+/// A snapshot that is being read from the store.
 #[derive(Clone, Debug)]
 pub struct SnapshotLoad {
-    /// What is being read.
+    /// The manifest of the snapshot.
     pub manifest: gossip::SnapshotManifest,
-    /// The chunks so far, one behind another.
+    /// The concatenated chunks read so far.
     pub body: Vec<u8>,
-    /// The next chunk.
+    /// The index of the next chunk.
     pub next: u32,
 }
 
-/// The rules as far as this node holds them, and the ways to more.
+/// The rules that this node holds, and the state of its reads, watches, pulls and proposals.
 #[derive(Clone, Debug)]
 pub struct RuleSpread {
     /// The changes held.
     pub log: rule_log::RuleLog,
     /// Whether the revision held was compared with peers or with the store.
     pub ready: bool,
-    /// Ready members heard, at most [`PEERS_COMPARED`].
+    /// Ready members that sent a message before this node was ready, at most [`PEERS_COMPARED`].
     pub ready_peers: Vec<ident::NodeId>,
-    /// The highest revision heard of.
+    /// The highest revision in a received message or held by this node.
     pub highest_seen: ident::RuleRevision,
-    /// The pull that is out.
+    /// The pending pull request.
     pub pull: Option<OpenPull>,
-    /// When to read the log in the store next.
+    /// When to read the log or the document in the store next.
     pub read_at: Option<time::NodeTime>,
     /// Whether the last read failed.
     pub store_failed: bool,
-    /// Whether the log was read to its end, with nothing behind the revision held.
+    /// Whether the log was read to its end, so that the store holds no newer revision.
     pub caught_up: bool,
-    /// When a node without any source begins on its own.
+    /// When a node without a store and without ready peers becomes ready on its own.
     pub standalone_at: time::NodeTime,
-    /// When to watch the log next.
+    /// When to watch the log or the document next.
     pub watch_at: time::NodeTime,
-    /// Whether this node watches rather than looks now and then. Where one key holds the whole rules,
-    /// two nodes of each zone do; the log is watched by all that may.
+    /// Whether this node watches rather than polls. Only [`DOCUMENT_WATCHERS`] nodes of each zone
+    /// watch the document; the log is never polled.
     pub is_watcher: bool,
-    /// When a node that has not compared its members decides whether it watches.
+    /// When a node that has not compared its members decides whether it is a watcher.
     pub watcher_choice_at: time::NodeTime,
-    /// When this node last had an answer about the key.
+    /// When this node last received a response about the document or the log.
     pub polled_at: time::NodeTime,
-    /// Time for each member after which a node that does not watch the key looks at it.
+    /// Time between polls of a node that is not a watcher, per live member.
     pub poll_interval: Duration,
-    /// The point in the store's order up to which the log is known.
+    /// The version of the store up to which the log or the document is known.
     pub seen: store::StoreVersion,
     /// Pauses after failures of the store.
     pub backoff: backoff::RetryBackoff,
-    /// A snapshot being read.
+    /// The snapshot that is being read.
     pub load: Option<SnapshotLoad>,
-    /// The operator's change being written.
+    /// The proposal of an operator's change.
     pub proposal: Option<proposal::OpenProposal>,
 }
 
 impl RuleSpread {
-    /// Holds nothing at `now`.
+    /// Starts at `now` without rules.
     pub fn new(now: time::NodeTime, reads_store: bool, has_seeds: bool) -> Self {
         Self {
             log: rule_log::RuleLog::default(),
--- a/crates/anvil_membership/src/store_requests.rs
+++ b/crates/anvil_membership/src/store_requests.rs
@@ -1,54 +1,54 @@
-//! The questions to the store that are out, and what each is for.
+//! The pending requests to the store and their purposes.
 
 use std::time::Duration;
 
 use anvil_types::{store, time};
 
-/// Time after which an unanswered question counts as lost; longer than the longest watch.
+/// Time after which a request without a response counts as lost; longer than the longest watch.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// What a question is for.
+/// Why a request was sent, which decides how its outcome is handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestPurpose {
-    /// Find nodes to join through, or other parts of the fleet.
+    /// List the contact entries, to find nodes to join through or other parts of the fleet.
     ListContacts,
-    /// Get a lease for a contact slot.
+    /// Obtain a lease for a contact slot.
     GrantLease {
         /// The slot.
         slot: u8,
     },
-    /// Take a contact slot.
+    /// Write this node's entry into a contact slot.
     ClaimSlot {
         /// The slot.
         slot: u8,
-        /// The lease that the entry hangs on.
+        /// The lease that the entry is attached to.
         lease: store::LeaseId,
     },
-    /// Keep the contact slot.
+    /// Renew the lease of the contact slot.
     RenewLease,
-    /// Give the contact slot back.
+    /// Remove this node's entry from its contact slot.
     ReleaseSlot,
-    /// Wait for changes.
+    /// Wait for changes of the rule log or the rule document.
     WatchLog,
-    /// Read the changes behind those held.
+    /// Read the changes after those held.
     ReadLog,
     /// Read the newest snapshot's manifest.
     ReadManifest,
     /// Read one chunk of the newest snapshot.
     ReadChunk,
-    /// Write the operator's change.
+    /// Write an operator's change to the log.
     Propose,
-    /// Read back whether the operator's change was written.
+    /// Read the log entry back to find out whether an operator's change was written.
     Resolve,
-    /// Write a part of a new snapshot, or remove what it makes needless.
+    /// Write a part of a new snapshot, or remove entries that it replaces.
     Snapshot,
 }
 
 impl RequestPurpose {
-    /// Purposes that are counted apart.
+    /// Number of counters, each for one or more purposes.
     pub const COUNTED: usize = 7;
 
-    /// One for each counter.
+    /// One purpose for each counter.
     pub const ONE_PER_COUNTER: [Self; Self::COUNTED] = [
         Self::ListContacts,
         Self::ReleaseSlot,
@@ -59,7 +59,7 @@
         Self::Propose,
     ];
 
-    /// Where the purpose is counted, and the name of its counter.
+    /// The index of the purpose's counter and the counter's metric name.
     pub const fn counter(self) -> (usize, &'static str) {
         match self {
             Self::ListContacts => (0, "fleet_store_asked_contacts"),
@@ -84,7 +84,7 @@
     times_out_at: time::NodeTime,
 }
 
-/// The questions that are out, sorted by number.
+/// The pending requests, sorted by sequence number.
 #[derive(Clone, Debug, Default)]
 pub struct PendingRequests {
     sequence: u64,
@@ -92,7 +92,7 @@
 }
 
 impl PendingRequests {
-    /// Notes a question and gives its identity.
+    /// Records a new request and returns its id.
     pub fn open(&mut self, purpose: RequestPurpose, now: time::NodeTime) -> store::StoreId {
         self.sequence += 1;
         let sequence = self.sequence;
@@ -107,12 +107,12 @@
         }
     }
 
-    /// Whether a question for `purpose` is out.
+    /// Whether a request for `purpose` is pending.
     pub fn is_open(&self, purpose: RequestPurpose) -> bool {
         self.open.iter().any(|request| request.purpose == purpose)
     }
 
-    /// Takes the question that an answer belongs to.
+    /// Removes the request that an outcome belongs to and returns its purpose.
     pub fn close(&mut self, id: store::StoreId) -> Option<RequestPurpose> {
         let index = self
             .open
@@ -120,7 +120,9 @@
         index.ok().map(|index| self.open.remove(index).purpose)
     }
 
-    /// Takes the questions whose answers are overdue; the edge may have dropped them.
+    /// Removes the requests that timed out and returns their purposes.
+    ///
+    /// The store client may have dropped their outcomes.
     pub fn take_timed_out(&mut self, now: time::NodeTime) -> Vec<RequestPurpose> {
         let timed_out = |request: &&PendingRequest| request.times_out_at <= now;
         let purposes = self
@@ -133,7 +135,7 @@
         purposes
     }
 
-    /// When the next answer is overdue.
+    /// When the next request times out.
     pub fn next_timeout(&self) -> Option<time::NodeTime> {
         self.open.iter().map(|request| request.times_out_at).min()
     }
--- a/crates/anvil_membership/src/suspicion.rs
+++ b/crates/anvil_membership/src/suspicion.rs
@@ -1,4 +1,4 @@
-//! Members that stand accused, and how long they have to refute.
+//! Suspect members, and the time that they have to refute.
 
 use std::time::Duration;
 
@@ -6,40 +6,40 @@
 
 use crate::config;
 
-/// Accusers beyond the first that bring the time down to its floor.
+/// Number of accusers beyond the first that shorten the time to its minimum.
 const CONFIRMATIONS: usize = 2;
 
-/// Suspicions that a node only heard of last this many times the ceiling.
+/// Multiple of the longest time after which a node that is not an accuser itself declares the
+/// suspect dead.
 const SECONDHAND_FACTOR: u32 = 2;
 
-/// Members that a node asks again at the same time.
+/// Number of pinged suspects up to which a node starts to ping suspects that it did not accuse.
 const PINGED_LIMIT: usize = 8;
 
-/// Fleets below this size hold too few independent accusers to wait for.
+/// Size of the fleet below which it has too few members for independent accusers.
 const SMALL_FLEET: usize = 5;
 
-/// One accused member.
+/// A suspect member.
 #[derive(Clone, Debug)]
 pub struct Suspicion {
-    /// The member.
+    /// The member's id.
     pub node: ident::NodeId,
-    /// When this node heard of it.
+    /// When this node first received an accusation.
     pub since: time::NodeTime,
-    /// The nodes whose probes failed, the first one first.
+    /// The nodes whose probes failed, in the order in which this node learned of them.
     pub accusers: Vec<ident::NodeId>,
-    /// Whether this node's own probe failed.
+    /// Whether this node is an accuser itself.
     pub is_accuser: bool,
-    /// When this node asks the member again, where it does.
+    /// When this node pings the member next, if it does so.
     pub ping_at: Option<time::NodeTime>,
 }
 
 impl Suspicion {
-    /// When the member counts as gone, in a fleet of `live` members.
+    /// When the member is declared dead, in a fleet of `live` members.
     ///
-    /// One accuser may itself be at fault, so a single accusation leaves the longer time; each
-    /// independent one shortens it. The accusers ask the member again all the while and judge; the
-    /// others only step in where no accuser is left to, since a refutation may still be on its way
-    /// to them.
+    /// A single accuser may be at fault itself, so each independent accuser shortens the time. The
+    /// accusers ping the member all the while and declare it dead. The other nodes, to which a
+    /// refutation may still be on its way, do so only if no accuser has by then.
     pub fn deadline(&self, config: &config::FleetConfig, live: usize) -> time::NodeTime {
         self.since + self.span(config, live)
     }
@@ -61,25 +61,25 @@
     }
 }
 
-/// What an accusation changed.
+/// The effect of an accusation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Accusation {
-    /// The member was not accused before.
+    /// The member was not suspect before.
     First,
-    /// Another accuser, which shortens the time.
+    /// It came from another accuser, which shortens the time.
     Confirmed,
-    /// Nothing new.
+    /// It changed nothing.
     Known,
 }
 
-/// All accused members, sorted by identity.
+/// All suspect members, sorted by id.
 #[derive(Clone, Debug, Default)]
 pub struct SuspicionList {
     list: Vec<Suspicion>,
 }
 
 impl SuspicionList {
-    /// Notes that `by`'s probe of `node` failed.
+    /// Records that `by` accuses `node`.
     pub fn accuse(
         &mut self,
         node: ident::NodeId,
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Lets this node ask `node` again from `now` on, being an accuser.
+    /// Marks this node as an accuser of `node`, which it pings from `now` on.
     pub fn ping_as_accuser(&mut self, node: ident::NodeId, now: time::NodeTime) {
         if let Ok(index) = self.search(node) {
             self.list[index].is_accuser = true;
@@ -119,10 +119,12 @@
         }
     }
 
-    /// Lets this node ask members whose accusers have neither ended nor cleared them in time.
+    /// Starts to ping suspects that are unresolved for longer than `ceiling`, although this node is
+    /// not an accuser.
     ///
-    /// A refutation that was lost on the way to this node alone would otherwise let it end a live
-    /// member. Few are asked at once, so that a region's loss is no storm of pings.
+    /// If only this node missed a refutation, it would otherwise declare a live member dead. The
+    /// number of these suspects is limited, so that the loss of a region does not cause a flood of
+    /// pings.
     pub fn ping_unresolved(&mut self, ceiling: Duration, now: time::NodeTime) {
         let mut pinged = self.list.iter().filter(|s| s.ping_at.is_some()).count();
         for entry in &mut self.list {
@@ -134,7 +136,7 @@
         }
     }
 
-    /// Members to ask again now.
+    /// Returns the suspects to ping now, and schedules their next pings.
     pub fn take_due_pings(
         &mut self,
         interval: Duration,
@@ -150,24 +152,24 @@
         due
     }
 
-    /// Drops the accusation of `node`.
+    /// Removes the suspicion of `node`.
     pub fn clear(&mut self, node: ident::NodeId) {
         if let Ok(index) = self.search(node) {
             self.list.remove(index);
         }
     }
 
-    /// The accusation of `node`, where there is one.
+    /// The suspicion of `node`, if there is one.
     pub fn get(&self, node: ident::NodeId) -> Option<&Suspicion> {
         self.search(node).ok().map(|index| &self.list[index])
     }
 
-    /// All accusations, sorted by identity.
+    /// All suspicions, sorted by member id.
     pub fn all(&self) -> &[Suspicion] {
         &self.list
     }
 
-    /// Members whose time is over.
+    /// Suspects whose deadline has passed.
     pub fn due(
         &self,
         config: &config::FleetConfig,
@@ -178,7 +180,7 @@
         self.list.iter().filter(late).map(|s| s.node).collect()
     }
 
-    /// When the next time is over, or a member is asked again.
+    /// When the next deadline or ping is due.
     pub fn next_deadline(
         &self,
         config: &config::FleetConfig,
@@ -191,10 +193,10 @@
         self.list.iter().map(wakes).min()
     }
 
-    /// Gives every accused member the whole time again.
+    /// Restarts the time of every suspect.
     ///
-    /// While this process was paused it could not hear the refutations, which wait in its socket;
-    /// without this, it would declare the accused gone before reading them.
+    /// Refutations that arrived while this process was paused are still unread in its socket.
+    /// Without the restart, it would declare the suspects dead before it reads them.
     pub fn restart(&mut self, now: time::NodeTime) {
         for entry in &mut self.list {
             entry.since = now;
--- a/crates/anvil_membership/src/table.rs
+++ b/crates/anvil_membership/src/table.rs
@@ -1,14 +1,14 @@
-//! All members that a node knows, sorted by identity.
+//! All members that a node knows, sorted by id.
 
 use anvil_types::{ident, time};
 use anvil_wire::gossip;
 
 use crate::{member, names, random};
 
-/// Attempts to draw a random member that is alive before giving up.
+/// Number of random draws before the table is searched from a random position.
 const DRAWS: usize = 16;
 
-/// The members, alive and gone, in one sorted vector.
+/// The members, live and departed, in one sorted vector.
 #[derive(Clone, Debug, Default)]
 pub struct MemberTable {
     members: Vec<member::MemberRecord>,
@@ -17,42 +17,42 @@
 }
 
 impl MemberTable {
-    /// The member of that identity, where it is known.
+    /// The member with this id, if known.
     pub fn get(&self, node: ident::NodeId) -> Option<&member::MemberRecord> {
         self.search(node).ok().map(|index| &self.members[index])
     }
 
-    /// The member of that identity, for changes that keep its state.
+    /// The member with this id, for changes other than of its state.
     pub fn get_mut(&mut self, node: ident::NodeId) -> Option<&mut member::MemberRecord> {
         let index = self.search(node).ok()?;
         Some(&mut self.members[index])
     }
 
-    /// All members, sorted by identity.
+    /// All members, sorted by id.
     pub fn all(&self) -> &[member::MemberRecord] {
         &self.members
     }
 
-    /// The members from `first` to `last`, both included.
+    /// The members from `first` to `last`, inclusive.
     pub fn range(&self, first: ident::NodeId, last: ident::NodeId) -> &[member::MemberRecord] {
         let start = self.members.partition_point(|m| m.node < first);
         let end = self.members.partition_point(|m| m.node <= last);
         &self.members[start..end.max(start)]
     }
 
-    /// Members that are alive or only suspected.
+    /// Number of live members: alive or suspect.
     pub fn live(&self) -> usize {
         self.live
     }
 
-    /// Members that are kept as gone.
+    /// Number of departed members.
     pub fn tombstones(&self) -> usize {
         self.members.len() - self.live
     }
 
-    /// Keeps `record`, new or in place of the former one of its identity.
+    /// Inserts `record`, or replaces the record with the same id.
     ///
-    /// Fails, keeping nothing, where the names don't fit; see [`names::NAMES_LIMIT`].
+    /// Returns false and changes nothing if a name cannot be interned; see [`names::NAMES_LIMIT`].
     pub fn put(&mut self, mut record: member::MemberRecord) -> bool {
         let Some(facts) = self.intern_facts(&record.facts) else {
             return false;
@@ -69,7 +69,7 @@
         true
     }
 
-    /// Changes the state of a known member.
+    /// Changes the incarnation and the state of a known member.
     pub fn set_state(
         &mut self,
         node: ident::NodeId,
@@ -88,9 +88,10 @@
         (record.incarnation, record.state) = rank;
     }
 
-    /// Forgets the members that were gone before `before`, and the oldest ones above `limit`.
+    /// Removes the members that departed before `before`, and the oldest ones above `limit`.
     ///
-    /// Without the limit a peer that invents members, or a long partition, would fill the memory.
+    /// Without the limit, a faulty peer that invents members, or a long partition, could exhaust
+    /// the memory.
     pub fn trim(&mut self, before: time::NodeTime, limit: usize) {
         self.members
             .retain(|m| m.state.is_live() || m.since >= before);
@@ -108,7 +109,7 @@
             .retain(|m| nodes.binary_search(&m.node).is_err());
     }
 
-    /// The live member whose identity follows `from` most closely, around the end, save `except`.
+    /// The first live member from the id `from` on, in circular order, other than `except`.
     pub fn successor(
         &self,
         from: ident::NodeId,
@@ -120,7 +121,7 @@
         around.find(|m| m.state.is_live() && m.node != except)
     }
 
-    /// A random member that is alive and not among `except`.
+    /// A random live member that is not among `except`.
     pub fn draw_live(
         &self,
         choice: &mut random::ChoiceSource,
@@ -129,7 +130,9 @@
         self.draw(choice, |m| m.state.is_live() && !except.contains(&m.node))
     }
 
-    /// A random member that `wanted` accepts; may miss rare ones.
+    /// A random member that `accept` accepts, if there is one.
+    ///
+    /// If few members qualify, the choice is not uniform.
     pub fn draw<Accept>(
         &self,
         choice: &mut random::ChoiceSource,
