--- a/crates/anvil_membership/examples/capacity/fed.rs
+++ b/crates/anvil_membership/examples/capacity/fed.rs
@@ -1,7 +1,7 @@
-//! One membership state whose peers are played.
+//! One membership state machine with simulated peers.
 //!
-//! Nodes are alike, so what one sends on its own account it also receives from others: each
-//! probe, rumour, pull and digest that the node sends is answered, and once in its time the same
+//! All nodes behave alike, so a node receives as many messages of each kind as it sends. Each
+//! probe, rumour, pull and digest that the node sends is answered, and later a message of the same
 //! kind arrives from a random member.
 
 use std::time::{Duration, Instant};
@@ -14,29 +14,29 @@
 
 use crate::harness;
 
-/// IP and UDP headers of a datagram.
+/// Size of the IP and UDP headers of a datagram.
 const UDP_BYTES: usize = 28;
 
-/// IP and TCP headers, the length and the seal of a bulk message; one segment is counted.
+/// Size of the IP and TCP headers, the length prefix and the seal of a bulk message in one segment.
 const TCP_BYTES: usize = 40 + 4 + 32;
 
-/// Claims of the fleet a day, of 14,000 members: 4,700 restarts of five claims each and 61
-/// failures of three.
-const CLAIMS_A_DAY: f64 = 4_700.0 * 5.0 + 61.0 * 3.0;
-const FLEET: f64 = 14_000.0;
+/// Number of new claims per day in a fleet of 14,000 members: five for each of 4,700 restarts and
+/// three for each of 61 failures.
+const CLAIMS_PER_DAY: f64 = 4_700.0 * 5.0 + 61.0 * 3.0;
+const FLEET_SIZE: f64 = 14_000.0;
 
-/// Rule changes a day, whatever the size, and the size of one.
-const CHANGES_A_DAY: f64 = 31_000.0;
+/// Number of rule changes per day at any fleet size, and the size of one in bytes.
+const CHANGES_PER_DAY: f64 = 31_000.0;
 const CHANGE_BYTES: usize = 300;
 
-const DAY: f64 = 86_400.0;
+const SECONDS_PER_DAY: f64 = 86_400.0;
 
-/// Kinds of messages, for the sums.
+/// The message kinds that are counted separately.
 const KINDS: [&str; 9] = [
     "ping", "ack", "indirect", "rumour", "pull", "changes", "other", "digest", "members",
 ];
 
-/// What one run cost.
+/// The cost of one run.
 pub(crate) struct FedReport {
     span: Duration,
     sent: [(u64, u64); 9],
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Prints the sums.
+    /// Prints the rates and the processor time.
     pub(crate) fn print(&self) {
         let seconds = self.span.as_secs_f64();
         for (place, kind) in KINDS.iter().enumerate() {
@@ -89,7 +89,7 @@
     }
 }
 
-/// The node and its played peers.
+/// The node and its simulated peers.
 pub(crate) struct FedNode {
     state: fleet::FleetState,
     now: time::NodeTime,
@@ -100,7 +100,7 @@
     lost: Vec<bool>,
     inbox: Vec<(time::NodeTime, Inbound)>,
     report: FedReport,
-    second: (u64, u64),
+    current_second: (u64, u64),
 }
 
 enum Inbound {
@@ -109,7 +109,7 @@
 }
 
 impl FedNode {
-    /// A node that knows `size` members, itself included.
+    /// A node that knows `size` members, including itself.
     pub(crate) fn new(size: usize) -> Self {
         let local = fleet::LocalNode {
             node: harness::id(0),
@@ -130,7 +130,7 @@
             lost: vec![false; size],
             inbox: Vec::new(),
             report: FedReport::new(Duration::ZERO),
-            second: (0, 0),
+            current_second: (0, 0),
         };
         let members: Vec<_> = (1..size).collect();
         for part in members.chunks(gossip::BULK_LIMIT) {
@@ -147,51 +147,51 @@
         node
     }
 
-    /// Lives through `span` of the ordinary rates of claims and changes.
+    /// Simulates `span` at the usual rates of claims and changes.
     pub(crate) fn run(&mut self, span: Duration) -> FedReport {
         self.settle();
-        let claims = CLAIMS_A_DAY / DAY * self.size as f64 / FLEET;
-        let changes = CHANGES_A_DAY / DAY;
-        self.live(span, claims, changes)
+        let claims = CLAIMS_PER_DAY / SECONDS_PER_DAY * self.size as f64 / FLEET_SIZE;
+        let changes = CHANGES_PER_DAY / SECONDS_PER_DAY;
+        self.simulate(span, claims, changes)
     }
 
-    /// Lives through the loss of `count` members.
+    /// Simulates the loss of `count` members, whose departures arrive over `span`.
     pub(crate) fn lose_zone(&mut self, count: usize, span: Duration) -> FedReport {
         self.settle();
         for index in self.size - count..self.size {
             self.lost[index] = true;
         }
         let rate = count as f64 / span.as_secs_f64();
-        self.live(span, rate, 0.0)
+        self.simulate(span, rate, 0.0)
     }
 
-    /// Lets the first digests and probes pass uncounted.
+    /// Runs the first digests and probes without counting them.
     fn settle(&mut self) {
-        self.live(Duration::from_secs(60), 0.0, 0.0);
+        self.simulate(Duration::from_secs(60), 0.0, 0.0);
     }
 
-    fn live(&mut self, span: Duration, claims: f64, changes: f64) -> FedReport {
+    fn simulate(&mut self, span: Duration, claims: f64, changes: f64) -> FedReport {
         let end = self.now + span;
         self.report = FedReport::new(span);
         let step = Duration::from_millis(1);
         let mut next_lost = self.size - 1;
         while self.now < end {
             self.now = self.now + step;
-            if self.happens(claims * step.as_secs_f64()) {
+            if self.draw(claims * step.as_secs_f64()) {
                 let update = if self.lost[next_lost] {
                     next_lost -= 1;
-                    self.end_claim(next_lost + 1)
+                    self.dead_claim(next_lost + 1)
                 } else {
                     let index = 1 + self.choice.below(self.size - 1);
                     self.incarnations[index] += 1;
                     self.claim(index)
                 };
-                let from = self.living();
+                let from = self.random_live();
                 self.receive(from, gossip::GossipKind::Rumour, vec![update]);
             }
-            if self.happens(changes * step.as_secs_f64()) {
+            if self.draw(changes * step.as_secs_f64()) {
                 self.revision += 1;
-                let from = self.living();
+                let from = self.random_live();
                 self.receive(from, gossip::GossipKind::Rumour, Vec::new());
             }
             self.deliver();
@@ -204,11 +204,11 @@
         std::mem::replace(&mut self.report, FedReport::new(span))
     }
 
-    fn happens(&mut self, chance: f64) -> bool {
+    fn draw(&mut self, chance: f64) -> bool {
         (self.choice.below(1 << 30) as f64) < chance * f64::from(1 << 30)
     }
 
-    fn living(&mut self) -> usize {
+    fn random_live(&mut self) -> usize {
         loop {
             let index = 1 + self.choice.below(self.size - 1);
             if !self.lost[index] {
@@ -260,11 +260,11 @@
         for effect in effects {
             match effect {
                 effect::FleetEffect::SendDatagram { to, message } => {
-                    self.second.1 += count(&mut self.report.sent, &message);
+                    self.current_second.1 += count(&mut self.report.sent, &message);
                     self.answer(to, &message, &mut mirrored);
                 }
                 effect::FleetEffect::SendSync { peer, message, .. } => {
-                    self.second.1 += count_sync(&mut self.report.sent, &message);
+                    self.current_second.1 += count_sync(&mut self.report.sent, &message);
                     self.answer_sync(peer, &message);
                 }
                 _ => {}
@@ -272,7 +272,7 @@
         }
     }
 
-    /// Answers a datagram, and lets the same kind arrive from somebody else.
+    /// Answers a datagram, and schedules one of the same kind from another member.
     fn answer(
         &mut self,
         to: std::net::SocketAddr,
@@ -281,39 +281,39 @@
     ) {
         let receiver = index_of(to);
         let updates = message.updates.clone();
-        let other = self.living();
+        let other = self.random_live();
         match &message.kind {
             gossip::GossipKind::Ping { probe, .. } => {
                 let of = harness::id(receiver);
                 let probe = *probe;
                 if !self.lost[receiver] {
                     let ack = gossip::GossipKind::Ack { probe, of };
-                    self.later(4, Inbound::Datagram(receiver, ack, updates.clone()));
+                    self.schedule(4, Inbound::Datagram(receiver, ack, updates.clone()));
                 }
                 let to = harness::id(0);
                 let ping = gossip::GossipKind::Ping { probe, to };
-                self.later(500, Inbound::Datagram(other, ping, updates));
+                self.schedule(500, Inbound::Datagram(other, ping, updates));
             }
             gossip::GossipKind::PingRequest { probe, target } => {
                 let (probe, target) = (*probe, *target);
                 if !self.lost[receiver] {
                     let nack = gossip::GossipKind::Nack { probe };
-                    self.later(350, Inbound::Datagram(receiver, nack, updates.clone()));
+                    self.schedule(350, Inbound::Datagram(receiver, nack, updates.clone()));
                 }
                 let request = gossip::GossipKind::PingRequest { probe, target };
-                self.later(500, Inbound::Datagram(other, request, updates));
+                self.schedule(500, Inbound::Datagram(other, request, updates));
             }
             gossip::GossipKind::Rumour => {
-                self.later(
+                self.schedule(
                     20,
                     Inbound::Datagram(other, gossip::GossipKind::Rumour, updates),
                 );
                 if !*mirrored && self.state.revision().0 == self.revision && self.revision > 0 {
-                    // One of the four that heard of a new revision asks this node for it.
+                    // One of the four receivers of a new revision pulls it from this node.
                     *mirrored = true;
                     let after = ident::RuleRevision(self.revision - 1);
                     let pull = gossip::GossipKind::PullChanges { after };
-                    self.later(4, Inbound::Datagram(other, pull, Vec::new()));
+                    self.schedule(4, Inbound::Datagram(other, pull, Vec::new()));
                 }
             }
             gossip::GossipKind::PullChanges { after } => {
@@ -325,7 +325,7 @@
                 let changes = gossip::GossipKind::Changes {
                     changes: changes.take(3).collect(),
                 };
-                self.later(4, Inbound::Datagram(receiver, changes, Vec::new()));
+                self.schedule(4, Inbound::Datagram(receiver, changes, Vec::new()));
             }
             _ => {}
         }
@@ -337,7 +337,8 @@
         };
         let receiver = (1..self.size).find(|index| harness::id(*index) == peer);
         let receiver = receiver.unwrap_or(1);
-        // Two buckets differ at any time: what is still on its way, a claim every four seconds.
+        // Two buckets differ at any time, by claims in transit, of which there is one every four
+        // seconds.
         let differing: Vec<u32> = (0..2)
             .map(|_| self.choice.below(sums.len()) as u32)
             .collect();
@@ -348,12 +349,12 @@
             differing: differing.clone(),
             headers,
         };
-        self.later(50, Inbound::Sync(receiver, answer));
+        self.schedule(50, Inbound::Sync(receiver, answer));
         let mut theirs = sums.clone();
         for place in differing {
             theirs[place as usize] ^= 1;
         }
-        let other = self.living();
+        let other = self.random_live();
         let sums = theirs;
         let head = self.head(other);
         let digest = gossip::SyncMessage::Digest {
@@ -361,10 +362,10 @@
             sums,
             sender: Vec::new(),
         };
-        self.later(9_000, Inbound::Sync(other, digest));
+        self.schedule(9_000, Inbound::Sync(other, digest));
     }
 
-    fn later(&mut self, millis: u64, inbound: Inbound) {
+    fn schedule(&mut self, millis: u64, inbound: Inbound) {
         let at = self.now + Duration::from_millis(millis);
         self.inbox.push((at, inbound));
     }
@@ -397,7 +398,7 @@
         }
     }
 
-    fn end_claim(&self, index: usize) -> gossip::MemberUpdate {
+    fn dead_claim(&self, index: usize) -> gossip::MemberUpdate {
         gossip::MemberUpdate {
             node: harness::id(index),
             incarnation: self.incarnations[index],
@@ -407,9 +408,9 @@
 
     fn count_second(&mut self) {
         let second = self.now.0 / 1_000_000;
-        if second != self.second.0 {
-            self.report.peak = self.report.peak.max(self.second.1);
-            self.second = (second, 0);
+        if second != self.current_second.0 {
+            self.report.peak = self.report.peak.max(self.current_second.1);
+            self.current_second = (second, 0);
         }
     }
 }
--- a/crates/anvil_membership/examples/capacity_slopes.rs
+++ b/crates/anvil_membership/examples/capacity_slopes.rs
@@ -1,11 +1,11 @@
-//! Prints what membership and rule changes cost one node as the fleet grows.
+//! Prints the cost of membership and rule changes for one node as the fleet grows.
 //!
-//! Two parts: one state machine whose table holds the whole fleet, fed as its peers would feed it,
-//! and small fleets of state machines that really exchange their messages. The figures stand in
+//! The first part runs one state machine with the whole fleet in its table and simulated peers. The
+//! second part runs small fleets of state machines that exchange their messages. The figures are in
 //! `docs/CAPACITY.md`; run it with
 //! `cargo run --release -p anvil_membership --example capacity_slopes`.
 
-// A counting allocator can't be written without `unsafe`; it only passes calls on.
+// A counting allocator can't be written without `unsafe`; it only forwards calls to the system one.
 #![allow(unsafe_code)]
 
 use std::alloc::{GlobalAlloc, Layout, System};
@@ -17,19 +17,19 @@
 #[path = "../tests/harness/mod.rs"]
 mod harness;
 
-/// Counts the bytes held.
+/// Counts the allocated bytes.
 struct CountingAllocator;
 
-static HELD: AtomicIsize = AtomicIsize::new(0);
+static ALLOCATED_BYTES: AtomicIsize = AtomicIsize::new(0);
 
 unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
-        HELD.fetch_add(layout.size() as isize, Ordering::Relaxed);
+        ALLOCATED_BYTES.fetch_add(layout.size() as isize, Ordering::Relaxed);
         unsafe { System.alloc(layout) }
     }
 
     unsafe fn dealloc(&self, pointer: *mut u8, layout: Layout) {
-        HELD.fetch_sub(layout.size() as isize, Ordering::Relaxed);
+        ALLOCATED_BYTES.fetch_sub(layout.size() as isize, Ordering::Relaxed);
         unsafe { System.dealloc(pointer, layout) }
     }
 }
@@ -37,18 +37,18 @@
 #[global_allocator]
 static ALLOCATOR: CountingAllocator = CountingAllocator;
 
-/// Sizes of the fleet that one state machine is fed with.
+/// Fleet sizes for one state machine with simulated peers.
 const FED_SIZES: [usize; 4] = [1_000, 3_500, 7_000, 14_000];
 
-/// Sizes of the fleets of real state machines.
+/// Fleet sizes for fleets of state machines.
 const NET_SIZES: [usize; 4] = [50, 100, 200, 400];
 
 fn main() {
-    println!("one node's membership, fed; bytes include seal, IP and UDP (or TCP) headers");
+    println!("one node with simulated peers; bytes include seal, IP and UDP (or TCP) headers");
     for size in FED_SIZES {
-        let before = HELD.load(Ordering::Relaxed);
+        let before = ALLOCATED_BYTES.load(Ordering::Relaxed);
         let mut node = fed::FedNode::new(size);
-        let held = HELD.load(Ordering::Relaxed) - before;
+        let held = ALLOCATED_BYTES.load(Ordering::Relaxed) - before;
         let report = node.run(Duration::from_secs(600));
         println!("members {size}");
         println!(
@@ -62,13 +62,14 @@
         println!("  a zone of {} members lost within 20 s:", size / 14);
         storm.print();
     }
-    println!("fleets of real state machines, four regions, 40 to 80 ms between them");
+    println!("fleets of state machines, four regions, 40 to 80 ms between them");
     for size in NET_SIZES {
         measure_net(size);
     }
 }
 
-/// Prints how long a change, a loss and a leaving announcement take to be known everywhere.
+/// Prints the store calls of a fleet, and how long a change and a crash take to be known
+/// everywhere.
 fn measure_net(size: usize) {
     let mut changes = Vec::new();
     let mut losses = Vec::new();
@@ -81,7 +82,7 @@
     let after = net.store.counts();
     for round in 0..5 {
         let proposed = net.propose(round * 7 + 1, round as u128 + 1);
-        assert!(proposed, "the change was tried");
+        assert!(proposed, "the change was refused");
         let count = round + 1;
         let everywhere = |net: &harness::Net| {
             let mut running = net.nodes.iter().filter(|n| n.running);
@@ -116,10 +117,7 @@
 
 fn spread(times: &mut [Duration]) -> String {
     times.sort_unstable();
-    let middle = times[times.len() / 2];
-    let most = times[times.len() - 1];
-    format!(
-        "{middle:.1?} (middle), {most:.1?} (most) of {}",
-        times.len()
-    )
+    let median = times[times.len() / 2];
+    let max = times[times.len() - 1];
+    format!("{median:.1?} (median), {max:.1?} (max) of {}", times.len())
 }
--- a/crates/anvil_membership/src/fleet/proposing.rs
+++ b/crates/anvil_membership/src/fleet/proposing.rs
@@ -13,10 +13,10 @@
     #[display("another change is being written through this node; try again")]
     Busy,
     /// The node has not compared its rules with peers or the store yet.
-    #[display("this node has not learned the rules in force yet")]
+    #[display("this node has not compared its rules with its peers or the store yet")]
     NotReady,
     /// No store is configured.
-    #[display("this node's settings name no platform store to keep the rules in")]
+    #[display("no platform store is configured to keep the rules in")]
     NoStore,
 }
 
--- a/crates/anvil_membership/tests/bounds.rs
+++ b/crates/anvil_membership/tests/bounds.rs
@@ -1,4 +1,4 @@
-//! Bounded memory whatever peers send, and ends that only one side knows.
+//! Bounded memory whatever peers send, and departures that only one side knows.
 
 use std::time::Duration;
 
@@ -56,9 +56,9 @@
 }
 
 #[test]
-fn invented_members_and_names_fill_the_tables_and_no_more() {
-    // A peer with the key that has gone mad invents members and services without end.
-    // Its claims are refused once the tables are full, and counted; the node goes on.
+fn invented_members_and_names_do_not_exceed_the_limits() {
+    // A faulty peer that holds the key invents members and services without end. Once the tables
+    // are full, its claims are rejected and counted, and the node continues.
     let config = config::FleetConfig {
         member_limit: 500,
         tombstone_limit: 100,
@@ -72,22 +72,22 @@
     }
     assert_eq!(state.table().live(), 500);
     assert!(state.counters().claims_refused >= 19_000);
-    let ended = (10..510).map(|node| gossip::MemberUpdate {
+    let departed = (10..510).map(|node| gossip::MemberUpdate {
         node: ident::NodeId(node),
         incarnation: 0,
         standing: gossip::MemberStanding::Gone,
     });
-    state.on_sync(now, ident::NodeId(2), &members(ended.collect()));
+    state.on_sync(now, ident::NodeId(2), &members(departed.collect()));
     state.on_wake(now + Duration::from_secs(30));
     assert!(state.table().tombstones() <= 100);
     assert!(state.backlog() <= 2 * state.table().all().len() + 64);
 }
 
 #[test]
-fn a_claim_about_an_ended_member_is_answered_with_its_end() {
-    // A node that missed an end would send work to a target that is gone.
-    // Ended members stand in no digest, so the node's own claim that the member lives must be
-    // what brings it the news.
+fn a_claim_about_a_departed_member_is_answered_with_its_departure() {
+    // A node that missed a departure would send requests to a dead target. Digests do not include
+    // departed members, so the node learns of the departure by an answer to its own claim that the
+    // member is alive.
     let mut state = node(&config::FleetConfig::default());
     let now = time::NodeTime::from_millis(5);
     state.on_sync(
@@ -101,19 +101,19 @@
     };
     state.on_sync(now, ident::NodeId(2), &members(vec![left.clone()]));
     let effects = state.on_sync(now, ident::NodeId(2), &members(vec![alive(7, "a")]));
-    let told = effects.iter().any(|effect| match effect {
+    let answered = effects.iter().any(|effect| match effect {
         effect::FleetEffect::SendSync {
             message: gossip::SyncMessage::Members { updates, .. },
             ..
         } => updates.contains(&left),
         _ => false,
     });
-    assert!(told, "{effects:?}");
+    assert!(answered, "{effects:?}");
 }
 
 #[test]
 fn every_message_fits_a_datagram_with_the_longest_names() {
-    // A datagram above the limit is dropped by the sealing edge, and with it whatever it told.
+    // The edge that seals datagrams drops those above the limit, and all their updates with them.
     let mut state = node(&config::FleetConfig::default());
     let long = "n".repeat(name::NAME_LIMIT);
     let now = time::NodeTime::from_millis(5);
@@ -151,9 +151,9 @@
 
 #[test]
 fn an_older_snapshot_and_an_older_change_undo_nothing() {
-    // A caller must not be treated by rules that an operator has replaced.
-    // A node that was cut off offers the whole rules at revision 3 to one that holds revision 5,
-    // and then a change that made revision 4; neither is put in force.
+    // Rules that an operator has replaced must not be applied again. A node that was cut off sends
+    // a snapshot of revision 3 to a node that holds revision 5, and then the change that made
+    // revision 4; neither is applied.
     let mut state = node(&config::FleetConfig::default());
     let now = time::NodeTime::from_millis(5);
     let logged = |revision: u64| gossip::LoggedChange {
@@ -184,7 +184,7 @@
         assert_eq!(state.revision(), ident::RuleRevision(5));
     }
     let effects = state.on_sync(now, peer, &changes(None, &[7]));
-    assert_eq!(adopted(&effects), 0, "a gap is not jumped");
+    assert_eq!(adopted(&effects), 0, "a change after a gap was applied");
     assert_eq!(
         adopted(&state.on_sync(now, peer, &changes(None, &[7, 6]))),
         2
--- a/crates/anvil_membership/tests/failures.rs
+++ b/crates/anvil_membership/tests/failures.rs
@@ -10,22 +10,22 @@
 
 #[test]
 fn a_crash_is_known_everywhere_within_eight_seconds() {
-    // A caller sees calls to the crashed instance fail for some seconds, then no longer.
-    // The node stops without a word; probes fail, several nodes accuse it, nobody refutes, and the
-    // shortest suspicion time passes. Eight seconds are a probe, a suspicion and its spreading.
+    // Calls to a crashed instance fail for a few seconds only. The node crashes, probes fail,
+    // several nodes accuse it, and the shortest suspicion time passes without a refutation. Eight
+    // seconds cover a probe, a suspicion and the dissemination of the departure.
     let mut net = Net::joined(60, 2, 1);
     net.run(Duration::from_secs(5));
     net.crash(17);
     let gone = |net: &Net| net.believers(harness::id(17)) == 0;
     let took = net.run_until(Duration::from_secs(30), gone);
     assert!(took <= Duration::from_secs(8), "took {took:?}");
-    assert!(net.false_ends().is_empty());
+    assert!(net.false_departures().is_empty());
 }
 
 #[test]
 fn a_leaving_target_is_known_everywhere_within_three_seconds() {
-    // A caller's request must not be sent to a target that said it leaves.
-    // The node tells its facts once; rumours carry them over a few hops, probes to the rest.
+    // Requests must not be sent to a target that announced that it leaves. The node announces its
+    // facts once; rumours carry them over a few hops, and probes to the remaining members.
     let mut net = Net::joined(120, 3, 2);
     net.run(Duration::from_secs(5));
     let target = fleet::LocalTarget {
@@ -33,37 +33,37 @@
         ..fleet::LocalTarget::default()
     };
     net.act(5, |state, now| state.set_local_target(now, &target));
-    let told = |net: &Net| {
-        let known = |n: &harness::Node| {
+    let known = |net: &Net| {
+        let knows = |n: &harness::Node| {
             let record = n.state.table().get(harness::id(5));
             record.is_some_and(|r| r.facts.leaving)
         };
-        net.nodes.iter().all(known)
+        net.nodes.iter().all(knows)
     };
-    let took = net.run_until(Duration::from_secs(30), told);
+    let took = net.run_until(Duration::from_secs(30), known);
     assert!(took <= Duration::from_secs(3), "took {took:?}");
 }
 
 #[test]
-fn a_third_of_the_messages_lost_ends_no_live_member() {
-    // Callers see no target vanish although nearly a third of the datagrams are lost for minutes.
-    // Probes fail by chance and members are accused; the second ping, the helpers and refutations
-    // told along with the accusation keep them alive.
-    // An accuser that missed an earlier refutation hears it with the next answer; with seeds 101,
-    // 102 and 107 such accusers ended live members.
+fn no_live_member_is_declared_dead_with_a_third_of_the_messages_lost() {
+    // No target disappears although nearly a third of the datagrams is lost for minutes. Probes
+    // fail by chance and members are accused, but the second ping, the indirect pings and
+    // refutations keep them alive. An accuser that missed an earlier refutation receives it again
+    // with the next ack; seeds 101, 102 and 107 cover the case in which such an accuser declared a
+    // live member dead.
     for seed in [3, 101, 102, 107] {
         let mut net = Net::joined(50, 2, seed);
         net.loss_percent = 30;
         net.run(Duration::from_secs(120));
-        let ends: usize = net.nodes.iter().map(|n| n.gone.len()).sum();
-        assert_eq!(ends, 0, "a live member was declared gone, seed {seed}");
+        let ends: usize = net.nodes.iter().map(|n| n.departures.len()).sum();
+        assert_eq!(ends, 0, "a live member was declared dead, seed {seed}");
     }
 }
 
 #[test]
 fn a_crash_is_known_although_a_third_of_the_messages_is_lost() {
-    // Callers must not be sent to a crashed target for long only because the network is bad.
-    // Accusations and the end travel on what arrives; nothing refutes them.
+    // Packet loss must not delay the detection of a crash for long. Accusations and the departure
+    // are carried by the datagrams that arrive, and nothing refutes them.
     let mut net = Net::joined(50, 2, 3);
     net.loss_percent = 30;
     net.run(Duration::from_secs(20));
@@ -83,7 +83,7 @@
         net.add(usize::from(index == 3), &config);
     }
     net.run(Duration::from_secs(20));
-    // Nearly a whole period, so that a probe is out whose answer was lost.
+    // Nearly a whole probe interval, so that a probe is pending whose ack was lost.
     net.cut = vec![1];
     net.run(Duration::from_millis(990));
     net.cut.clear();
@@ -91,30 +91,30 @@
     net.run(Duration::from_secs(60));
     let woke = net.nodes[3].state.counters().clone();
     let others_up = net.believers(harness::id(3));
-    assert_eq!(others_up, 30, "the paused node is back in every table");
+    assert_eq!(others_up, 30, "the paused node is not live in every table");
     woke.probes_failed as usize
 }
 
 #[test]
 fn a_paused_node_accuses_nobody_when_it_wakes() {
-    // Callers lose one target for the time of its pause and get it back; no other target suffers.
-    // The process stands still for 25 s and is declared gone. It wakes with an overdue probe whose
-    // answer it never read; it discards the probe, hears that it is gone, and refutes.
+    // A paused node must not accuse others when it resumes. The process is paused for 25 s and
+    // declared dead. It resumes with an overdue probe whose ack it never read; it drops the probe,
+    // receives the claim that it is dead, and refutes it.
     assert_eq!(paused_node_accuses(true), 0);
 }
 
 #[test]
 fn without_the_pause_check_a_paused_node_accuses() {
-    // The same pause with the safeguard off: the overdue probe counts as failed, so the test above
-    // can fail.
+    // With the pause detection disabled, the overdue probe counts as failed. This shows that the
+    // test above depends on the safeguard.
     assert!(paused_node_accuses(false) > 0);
 }
 
 #[test]
-fn a_replaced_instance_ends_its_predecessor_at_once() {
-    // A caller's request is not sent to the process that vanished, though its address answers.
-    // The instance crashes and another node starts at its address; a probe for the old identity
-    // is answered by the new one, which ends the old one without waiting for a suspicion.
+fn a_node_at_a_reused_address_replaces_its_predecessor_at_once() {
+    // Requests must not be sent to a crashed instance whose address is in use again. Another node
+    // starts at the address and answers a probe of the old id, which marks the old instance as
+    // departed without a suspicion.
     let mut net = Net::joined(40, 1, 6);
     net.crash(8);
     let fresh = net.add_at(8, 0, &config::FleetConfig::default());
@@ -122,16 +122,16 @@
         |net: &Net| net.believers(harness::id(8)) == 0 && net.believers(harness::id(fresh)) == 40;
     let took = net.run_until(Duration::from_secs(30), done);
     assert!(took <= Duration::from_secs(8), "took {took:?}");
-    let ends = net.nodes.iter().flat_map(|n| &n.gone);
+    let ends = net.nodes.iter().flat_map(|n| &n.departures);
     let replaced = ends.filter(|(_, _, why)| *why == effect::DepartureReason::Replaced);
     assert!(replaced.count() > 0);
 }
 
 #[test]
 fn a_region_cut_off_for_minutes_heals() {
-    // Callers in each region go on with the targets of their own side, and reach all again soon
-    // after the network heals. Each side declares the other gone; now and then it pings one that
-    // is gone, the two meet, the members refute, and digests carry the rest.
+    // Soon after a partition heals, callers of each region reach all targets again. Each side has
+    // declared the other dead, but periodically pings a departed member. One that answers connects
+    // the two sides, members refute, and digest exchanges transfer the rest.
     let mut net = Net::joined(60, 3, 7);
     net.cut = vec![2];
     net.run(Duration::from_secs(180));
@@ -148,10 +148,10 @@
 
 #[test]
 fn half_of_a_zone_lost_at_once_is_known_and_the_rest_stays() {
-    // Callers lose every target of one zone at the same moment, and none of the others.
-    // A hundred of two hundred nodes stop; helpers are among the lost, and half as many probers
-    // remain, so the last of a hundred is first probed after 2 ln(100) = 9 s, stands accused by a
-    // single node for 6 s, and its end may miss a node until the fallback at 12 s.
+    // When a zone is lost, all its targets depart and no other target does. A hundred of two
+    // hundred nodes crash. Helpers are among them, and half as many probers remain, so the last of
+    // the hundred is first probed after 2 ln(100) = 9 s and is suspect with a single accuser for 6
+    // s. A node that misses the departure declares the suspect dead itself after 12 s.
     let mut net = Net::joined(200, 2, 8);
     net.run(Duration::from_secs(10));
     for index in (1..200).step_by(2) {
@@ -165,14 +165,14 @@
     };
     let took = net.run_until(Duration::from_secs(60), settled);
     assert!(took <= Duration::from_secs(25), "took {took:?}");
-    assert!(net.false_ends().is_empty());
+    assert!(net.false_departures().is_empty());
 }
 
 #[test]
 fn many_joiners_at_once_all_learn_the_fleet() {
-    // Right after a mass start callers reach every target through any node.
-    // A hundred nodes join through one seed within the same second; the seed hands each a few
-    // members, and the joiners take the fleet from those, not from the seed.
+    // Soon after a mass start, callers reach every target through any node. A hundred nodes join
+    // through one seed within a second; the seed sends each of them a few members, and the nodes
+    // obtain the other members from these instead of the seed.
     let mut net = Net::joined(50, 1, 9);
     for _ in 0..100 {
         net.add(0, &config::FleetConfig::default());
--- a/crates/anvil_membership/tests/harness/mod.rs
+++ b/crates/anvil_membership/tests/harness/mod.rs
@@ -1,4 +1,4 @@
-//! A queue of messages between membership states, with injected time, loss and cuts.
+//! Simulates a network of membership state machines, with injected time, loss and partitions.
 #![allow(dead_code, unreachable_pub)]
 
 use std::cmp::Reverse;
@@ -12,50 +12,50 @@
 use anvil_wire::gossip;
 use bytes::Bytes;
 
-/// One-way time of a message inside a region and across regions.
-const NEAR: Duration = Duration::from_millis(2);
-const FAR: Duration = Duration::from_millis(40);
+/// One-way delay of a message within a region and across regions, without jitter.
+const SAME_REGION_DELAY: Duration = Duration::from_millis(2);
+const CROSS_REGION_DELAY: Duration = Duration::from_millis(40);
 
-enum Due {
+enum Event {
     Wake,
     Datagram(SocketAddr, gossip::GossipMessage),
     Sync(ident::NodeId, gossip::SyncMessage),
-    AtStore(store::StoreId, store::StoreAsk),
-    StoreAnswer(store::StoreId, store::StoreOutcome),
+    StoreRequest(store::StoreId, store::StoreAsk),
+    StoreOutcome(store::StoreId, store::StoreOutcome),
     StoreTick,
 }
 
-/// One node of the harness.
+/// One simulated node.
 pub struct Node {
     pub state: fleet::FleetState,
     pub udp: SocketAddr,
     pub region: usize,
     pub running: bool,
-    /// Until when the process does not run; its messages wait in the socket.
+    /// Until when the process is paused; its messages wait in the socket.
     pub paused_until: time::NodeTime,
     pub reports: Vec<(time::NodeTime, effect::FleetReport)>,
-    pub gone: Vec<(time::NodeTime, ident::NodeId, effect::DepartureReason)>,
-    /// The ids of the changes in force, in order.
+    pub departures: Vec<(time::NodeTime, ident::NodeId, effect::DepartureReason)>,
+    /// The ids of the applied changes, in order.
     pub document: Vec<u128>,
     pub ready_at: Option<time::NodeTime>,
     pub proposals: Vec<(u128, ident::RuleRevision, proposal::ProposalOutcome)>,
     wake_at: time::NodeTime,
 }
 
-/// Nodes and the messages between them.
+/// The nodes, the store, and the events that are scheduled.
 pub struct Net {
     pub now: time::NodeTime,
     pub nodes: Vec<Node>,
     pub loss_percent: usize,
-    /// Regions that no message leaves or enters.
+    /// Regions that are partitioned from the others.
     pub cut: Vec<usize>,
     pub choice: random::ChoiceSource,
     pub store: fake::FakeStore<(usize, store::StoreId)>,
-    /// Regions from which the store can't be reached.
+    /// Regions from which the store is unavailable.
     pub store_cut: Vec<usize>,
     ticking: bool,
     queue: BinaryHeap<Reverse<(time::NodeTime, u64, usize)>>,
-    payloads: Vec<Option<Due>>,
+    payloads: Vec<Option<Event>>,
 }
 
 pub fn id(index: usize) -> ident::NodeId {
@@ -76,7 +76,7 @@
     }
 }
 
-/// The whole rules at `revision`, whose body grows with it.
+/// A document of the rules at `revision`, whose body grows with the revision.
 pub fn whole_rules(revision: u64) -> gossip::LoggedChange {
     let ids = (1..=u128::from(revision)).flat_map(u128::to_le_bytes);
     gossip::LoggedChange {
@@ -87,23 +87,23 @@
 }
 
 impl Net {
-    /// Lets an operator write the whole rules under `key`; no node has any part in it.
+    /// Writes a document of the rules under `key` as an operator, directly to the store.
     pub fn write_rules(&mut self, key: &store::StoreKey, revision: u64) {
-        let standing = self.store.entries().find(|entry| entry.key == *key);
-        let base = standing.map_or(store::SwapBase::Absent, |entry| {
+        let current = self.store.entries().find(|entry| entry.key == *key);
+        let base = current.map_or(store::SwapBase::Absent, |entry| {
             store::SwapBase::At(entry.version)
         });
-        let ask = store::StoreAsk::Swap {
+        let request = store::StoreAsk::Swap {
             key: key.clone(),
             base,
             value: whole_rules(revision).to_value().expect("it can be encoded"),
             lease: None,
         };
-        let nobody = store::StoreId {
+        let operator = store::StoreId {
             part: store::StorePart::Keys,
             sequence: revision,
         };
-        let outcome = self.store.carry_out(self.now, (0, nobody), &ask);
+        let outcome = self.store.carry_out(self.now, (0, operator), &request);
         assert!(matches!(outcome, Some(store::StoreOutcome::Done(_))));
     }
 
@@ -130,17 +130,16 @@
         }
         let all = |net: &Self| net.nodes.iter().all(|n| n.state.table().live() == size);
         net.run_until(Duration::from_secs(60), all);
-        assert!(all(&net), "the fleet joined");
+        assert!(all(&net), "the fleet did not join");
         net
     }
 
-    /// Starts a node at a fresh address and gives its index.
+    /// Starts a node at a new address and returns its index.
     pub fn add(&mut self, region: usize, config: &config::FleetConfig) -> usize {
         self.add_at(self.nodes.len(), region, config)
     }
 
-    /// Starts a node at the address of slot `slot` and gives its index.
-    /// A fleet whose nodes know the store and no seed.
+    /// A fleet of `size` ready nodes that use the store and no seeds.
     pub fn with_store(size: usize, regions: usize, seed: u64) -> Self {
         let mut net = Self::new(seed);
         for index in 0..size {
@@ -151,11 +150,11 @@
             net.nodes.iter().all(whole)
         };
         net.run_until(Duration::from_secs(90), all);
-        assert!(all(&net), "the fleet joined through the store");
+        assert!(all(&net), "the fleet did not join through the store");
         net
     }
 
-    /// Lets a node write an operator's change; false where it refuses to try.
+    /// Proposes an operator's change through a node; returns false if the node refuses it.
     pub fn propose(&mut self, index: usize, change: u128) -> bool {
         let now = self.now;
         let body = Bytes::copy_from_slice(&change.to_le_bytes());
@@ -167,6 +166,7 @@
         true
     }
 
+    /// Starts a node at the address of `slot` and returns its index.
     pub fn add_at(&mut self, slot: usize, region: usize, config: &config::FleetConfig) -> usize {
         let index = self.nodes.len();
         let config = config::FleetConfig {
@@ -192,7 +192,7 @@
             running: true,
             paused_until: time::NodeTime::START,
             reports: Vec::new(),
-            gone: Vec::new(),
+            departures: Vec::new(),
             document: Vec::new(),
             ready_at: None,
             proposals: Vec::new(),
@@ -203,7 +203,7 @@
         index
     }
 
-    /// Stops a node without a word.
+    /// Stops a node without an announcement.
     pub fn crash(&mut self, index: usize) {
         self.nodes[index].running = false;
     }
@@ -213,7 +213,7 @@
         self.run_until(span, |_| false);
     }
 
-    /// Runs until `done` holds, at most for `span`, and gives the time it took.
+    /// Runs until `done` holds, for at most `span`, and returns the time that it took.
     pub fn run_until<Done>(&mut self, span: Duration, done: Done) -> Duration
     where
         Done: Fn(&Self) -> bool,
@@ -249,7 +249,7 @@
         self.carry_out(index, effects);
     }
 
-    /// Nodes that run and believe `node` live.
+    /// Number of running nodes that consider `node` live.
     pub fn believers(&self, node: ident::NodeId) -> usize {
         let live = |n: &&Node| {
             let record = n.state.table().get(node);
@@ -258,19 +258,20 @@
         self.nodes.iter().filter(live).count()
     }
 
-    /// Every `(observer, member)` where a running node believes another running one gone.
-    pub fn false_ends(&self) -> Vec<(usize, usize)> {
+    /// Every `(observer, member)` of running nodes in which the observer considers the member
+    /// departed.
+    pub fn false_departures(&self) -> Vec<(usize, usize)> {
         let mut found = Vec::new();
         for (observer, node) in self.nodes.iter().enumerate().filter(|(_, n)| n.running) {
             for member in 0..self.nodes.len() {
                 let record = node.state.table().get(id(member));
-                let ended = record.is_some_and(|r| {
+                let departed = record.is_some_and(|r| {
                     matches!(
                         r.state,
                         member::MemberState::Gone | member::MemberState::Left
                     )
                 });
-                if ended && self.nodes[member].running {
+                if departed && self.nodes[member].running {
                     found.push((observer, member));
                 }
             }
@@ -279,12 +280,14 @@
     }
 
     fn deliver(&mut self, index: usize, payload: usize) {
-        let Some(due) = self.payloads[payload].take() else {
+        let Some(event) = self.payloads[payload].take() else {
             return;
         };
-        match due {
-            Due::StoreTick => return self.tick_store(),
-            Due::AtStore(id, ask) => return self.arrive_at_store(index, id, &ask),
+        match event {
+            Event::StoreTick => return self.tick_store(),
+            Event::StoreRequest(id, request) => {
+                return self.handle_store_request(index, id, &request);
+            }
             _ => {}
         }
         let node = &mut self.nodes[index];
@@ -292,23 +295,23 @@
             return;
         }
         if node.paused_until > self.now {
-            // The clock has passed before the socket is read.
-            let reading = Duration::from_millis(u64::from(!matches!(due, Due::Wake)));
-            let at = node.paused_until + reading;
-            self.push(at, index, due);
+            // After the pause, the process handles its timers before its messages.
+            let read_delay = Duration::from_millis(u64::from(!matches!(event, Event::Wake)));
+            let at = node.paused_until + read_delay;
+            self.push(at, index, event);
             return;
         }
         let now = self.now;
-        let effects = match due {
-            Due::Wake if now < node.wake_at => return,
-            Due::Wake => {
+        let effects = match event {
+            Event::Wake if now < node.wake_at => return,
+            Event::Wake => {
                 node.wake_at = time::NodeTime(u64::MAX);
                 node.state.on_wake(now)
             }
-            Due::Datagram(from, message) => node.state.on_datagram(now, from, &message),
-            Due::Sync(peer, message) => node.state.on_sync(now, peer, &message),
-            Due::StoreAnswer(id, outcome) => node.state.on_store(now, id, outcome),
-            Due::AtStore(..) | Due::StoreTick => return,
+            Event::Datagram(from, message) => node.state.on_datagram(now, from, &message),
+            Event::Sync(peer, message) => node.state.on_sync(now, peer, &message),
+            Event::StoreOutcome(id, outcome) => node.state.on_store(now, id, outcome),
+            Event::StoreRequest(..) | Event::StoreTick => return,
         };
         self.carry_out(index, effects);
     }
@@ -319,7 +322,7 @@
                 effect::FleetEffect::SendDatagram { to, message } => {
                     if self.choice.below(100) >= self.loss_percent {
                         let from = self.nodes[index].udp;
-                        self.send(index, to, Due::Datagram(from, message));
+                        self.send(index, to, Event::Datagram(from, message));
                     }
                 }
                 effect::FleetEffect::SendSync {
@@ -333,20 +336,20 @@
                         .position(|n| n.running && n.udp == address);
                     if receiver.is_some_and(|r| self.nodes[r].state.local() == peer) {
                         let own = self.nodes[index].state.local();
-                        self.send(index, address, Due::Sync(own, message));
+                        self.send(index, address, Event::Sync(own, message));
                     }
                 }
                 effect::FleetEffect::MemberDeparted { node, reason } => {
                     let now = self.now;
-                    self.nodes[index].gone.push((now, node, reason));
+                    self.nodes[index].departures.push((now, node, reason));
                 }
                 effect::FleetEffect::Report(report) => {
                     let now = self.now;
                     self.nodes[index].reports.push((now, report));
                 }
                 effect::FleetEffect::SendStoreRequest { id, request } => {
-                    let at = self.now + NEAR;
-                    self.push(at, index, Due::AtStore(id, request));
+                    let at = self.now + SAME_REGION_DELAY;
+                    self.push(at, index, Event::StoreRequest(id, request));
                 }
                 effect::FleetEffect::AdoptChange(change) => {
                     let node = &mut self.nodes[index];
@@ -358,7 +361,7 @@
                     let ids = ids.map(|id| u128::from_le_bytes(id.try_into().expect("16 bytes")));
                     let document: Vec<_> = ids.collect();
                     let node = &mut self.nodes[index];
-                    assert!(document.starts_with(&node.document), "nothing is undone");
+                    assert!(document.starts_with(&node.document), "a change was undone");
                     assert_eq!(document.len() as u64, snapshot.revision.0);
                     node.document = document;
                 }
@@ -387,22 +390,27 @@
         }
     }
 
-    fn arrive_at_store(&mut self, index: usize, id: store::StoreId, ask: &store::StoreAsk) {
+    fn handle_store_request(
+        &mut self,
+        index: usize,
+        id: store::StoreId,
+        request: &store::StoreAsk,
+    ) {
         let cut = self.store_cut.contains(&self.nodes[index].region);
         let outcome = if cut {
             Some(store::StoreOutcome::Unavailable)
         } else {
-            self.store.carry_out(self.now, (index, id), ask)
+            self.store.carry_out(self.now, (index, id), request)
         };
         if let Some(outcome) = outcome {
-            let at = self.now + NEAR;
-            self.push(at, index, Due::StoreAnswer(id, outcome));
+            let at = self.now + SAME_REGION_DELAY;
+            self.push(at, index, Event::StoreOutcome(id, outcome));
         }
         self.answer_watches();
         if self.store.waiting() > 0 && !self.ticking {
             self.ticking = true;
             let at = self.now + Duration::from_millis(200);
-            self.push(at, index, Due::StoreTick);
+            self.push(at, index, Event::StoreTick);
         }
     }
 
@@ -411,18 +419,18 @@
         self.ticking = self.store.waiting() > 0;
         if self.ticking {
             let at = self.now + Duration::from_millis(200);
-            self.push(at, 0, Due::StoreTick);
+            self.push(at, 0, Event::StoreTick);
         }
     }
 
     fn answer_watches(&mut self) {
         for ((index, id), outcome) in self.store.due_watches(self.now) {
-            let at = self.now + NEAR;
-            self.push(at, index, Due::StoreAnswer(id, outcome));
+            let at = self.now + SAME_REGION_DELAY;
+            self.push(at, index, Event::StoreOutcome(id, outcome));
         }
     }
 
-    fn send(&mut self, from: usize, to: SocketAddr, due: Due) {
+    fn send(&mut self, from: usize, to: SocketAddr, event: Event) {
         let slot = match to.ip() {
             IpAddr::V4(ip) => (u32::from(ip) - 0x0a00_0000) as usize,
             IpAddr::V6(_) => return,
@@ -444,23 +452,27 @@
         if across && regions.iter().any(|r| self.cut.contains(r)) {
             return;
         }
-        let delay = if across { FAR } else { NEAR };
+        let delay = if across {
+            CROSS_REGION_DELAY
+        } else {
+            SAME_REGION_DELAY
+        };
         let jitter = self.choice.span(delay);
         let at = self.now + delay + jitter;
-        self.push(at, receiver, due);
+        self.push(at, receiver, event);
     }
 
     fn schedule_wake(&mut self, index: usize, at: time::NodeTime) {
         let at = at.max(self.now);
         if at < self.nodes[index].wake_at {
             self.nodes[index].wake_at = at;
-            self.push(at, index, Due::Wake);
+            self.push(at, index, Event::Wake);
         }
     }
 
-    fn push(&mut self, at: time::NodeTime, index: usize, due: Due) {
+    fn push(&mut self, at: time::NodeTime, index: usize, event: Event) {
         let payload = self.payloads.len() as u64;
-        self.payloads.push(Some(due));
+        self.payloads.push(Some(event));
         self.queue.push(Reverse((at, payload, index)));
     }
 }
--- a/crates/anvil_membership/tests/hostile.rs
+++ b/crates/anvil_membership/tests/hostile.rs
@@ -1,4 +1,4 @@
-//! Any message that can be decoded, in any order, from a peer that has the key.
+//! Arbitrary messages that can be decoded, in any order, from a peer that holds the key.
 
 use std::time::Duration;
 
@@ -30,8 +30,8 @@
     fleet::FleetState::new(config, &local, 1, time::NodeTime::START)
 }
 
-/// Bytes that often decode: the start of a datagram or of a bulk message, then small numbers,
-/// which are tags, lengths and identities alike.
+/// Bytes that often decode: the start of a datagram or of a bulk message, followed by small
+/// numbers, which are valid as tags, lengths and ids.
 fn bytes() -> impl Strategy<Value = Vec<u8>> {
     let byte = prop_oneof![8 => 0..4u8, 1 => 97..100u8, 1 => any::<u8>()];
     let rest = proptest::collection::vec(byte, 1..60);
@@ -68,8 +68,8 @@
     fn no_message_panics_or_fills_the_memory(
         inputs in proptest::collection::vec((bytes(), 0..900u64), 1..60),
     ) {
-        // A peer that has gone mad must not take others with it: whatever decodes is taken or
-        // refused, the tables keep their limits, and revisions only rise.
+        // A faulty peer must not harm others: whatever decodes is applied or rejected without a
+        // panic, the tables keep their limits, and revisions never decrease.
         let mut state = start();
         let mut now = time::NodeTime::from_millis(1);
         for (sequence, (bytes, millis)) in (1..).zip(&inputs) {
@@ -95,7 +95,7 @@
 
 #[test]
 fn the_inputs_above_do_decode() {
-    // Bytes that never decode would let the property pass for nothing.
+    // If the bytes never decoded, the property above would hold trivially.
     use proptest::strategy::ValueTree;
     let mut runner = proptest::test_runner::TestRunner::deterministic();
     let mut decoded = [0, 0];
--- a/crates/anvil_membership/tests/newcomers.rs
+++ b/crates/anvil_membership/tests/newcomers.rs
@@ -1,4 +1,4 @@
-//! What a node that has just started knows of the fleet when it begins to serve.
+//! The members that a starting node knows when it becomes ready.
 
 use std::time::Duration;
 
@@ -10,16 +10,17 @@
 
 use harness::Net;
 
-/// Nodes of the fleet.
+/// Number of nodes of the fleet.
 const SIZE: usize = 16;
 
-/// Restarts of one run.
+/// Number of restarts of one run.
 const RESTARTS: usize = 48;
 
-/// Within this the fleet knows a newcomer; younger members may be missed.
-const SETTLED: Duration = Duration::from_secs(3);
+/// Time within which the fleet knows a new node; members that started later may be missing.
+const SETTLE_TIME: Duration = Duration::from_secs(3);
 
-/// Longest time from the start of a process to its first request, with all peers and the store well.
+/// Maximum time from the start of a process to its readiness, if all peers and the store are
+/// healthy.
 const START_LIMIT: Duration = Duration::from_secs(2);
 
 const KEY: &str = "rules-of-the-operator";
@@ -29,7 +30,7 @@
 enum RuleSource {
     /// From the log that the nodes keep in the store.
     Log,
-    /// From one key of the store, which the operators write.
+    /// From a document in the store, which the operators write.
     Document,
 }
 
@@ -43,7 +44,7 @@
     index
 }
 
-/// A fleet whose nodes know each other, and when each of them started.
+/// A fleet whose nodes are ready and know each other.
 fn fleet(seed: u64, rules: RuleSource) -> Net {
     let mut net = Net::new(seed);
     net.write_rules(&store::StoreKey::new(KEY), 1);
@@ -55,35 +56,35 @@
         net.nodes.iter().all(joined)
     };
     net.run_until(Duration::from_secs(90), whole);
-    assert!(whole(&net), "the fleet met");
+    assert!(whole(&net), "the fleet did not join");
     net
 }
 
-// A claim calls a service through a node that was started milliseconds ago, and is refused as if the
-// service did not exist. Nodes restart in turn, a few at a time; one of them joined by another that
-// had just started and knew seven of sixteen members, and it served as soon as it had read its rules.
-// Whoever serves must know all that have been up for a while.
+// Guards against a starting node that refuses requests as if their service did not exist. During a
+// rolling restart, a node joined through another one that had just started and knew seven of
+// sixteen members, and became ready as soon as it had read its rules. A ready node must know all
+// members that have been up for a while.
 fn knows_the_fleet_before_it_serves(seed: u64, rules: RuleSource) {
     let mut net = fleet(seed, rules);
-    let mut standing: Vec<usize> = (0..SIZE).collect();
-    let mut since = vec![net.now; SIZE];
+    let mut current: Vec<usize> = (0..SIZE).collect();
+    let mut started_at = vec![net.now; SIZE];
     for restart in 0..RESTARTS {
         let slot = restart * 5 % SIZE;
-        let leaving = standing[slot];
+        let leaving = current[slot];
         net.act(leaving, fleet::FleetState::leave);
         net.crash(leaving);
         net.run(Duration::from_millis(50));
         let index = add(&mut net, slot, rules);
         let started = net.now;
-        standing[slot] = index;
-        since.push(started);
+        current[slot] = index;
+        started_at.push(started);
         let ready = |net: &Net| net.nodes[index].state.is_ready();
         let took = net.run_until(START_LIMIT, ready);
         assert!(ready(&net), "restart {restart}: not ready after {took:?}");
         let now = net.now;
-        let settled = standing
+        let settled = current
             .iter()
-            .filter(|node| now.since(since[**node]) >= SETTLED);
+            .filter(|node| now.since(started_at[**node]) >= SETTLE_TIME);
         let known = |node: &&usize| {
             let record = net.nodes[index].state.table().get(harness::id(**node));
             record.is_some_and(|record| record.state.is_live())
@@ -104,9 +105,9 @@
     rules_from_one_key_third => (3, RuleSource::Document),
 }
 
-// Two nodes start at the same moment and meet each other first, while the network is slow to bring the
-// others. Each is all that the other one knows, so what they have in common is not the fleet: serving with
-// it, they would refuse what fourteen others offer.
+// Two nodes start at the same time and know only each other at first, since messages of the others
+// are delayed. If they took each other for the whole fleet and became ready, they would refuse
+// requests for the services of all other nodes.
 #[test]
 fn two_newborns_that_know_only_each_other_wait_for_the_fleet() {
     let mut net = fleet(4, RuleSource::Document);
@@ -126,8 +127,11 @@
     net.run(Duration::from_secs(1));
     for node in &pair {
         let state = &net.nodes[*node].state;
-        assert_eq!(state.table().live(), 2, "they have met");
-        assert!(!state.is_ready(), "one began with the other alone");
+        assert_eq!(state.table().live(), 2, "they do not know only each other");
+        assert!(
+            !state.is_ready(),
+            "a node is ready that knows only one other"
+        );
     }
     net.cut.clear();
     let ready = |net: &Net| pair.iter().all(|node| net.nodes[*node].state.is_ready());
--- a/crates/anvil_membership/tests/rule_document.rs
+++ b/crates/anvil_membership/tests/rule_document.rs
@@ -1,4 +1,4 @@
-//! Rules that operators keep under one key of the store, as nodes learn of them.
+//! Distribution of rules that operators keep in a document under one key of the store.
 
 use std::time::Duration;
 
@@ -13,19 +13,19 @@
 
 const KEY: &str = "rules-of-the-operator";
 
-/// Within this, operators expect a change to be in force everywhere.
-const IN_FORCE: Duration = Duration::from_secs(2);
+/// Time within which operators expect a change to be in force everywhere.
+const IN_FORCE_LIMIT: Duration = Duration::from_secs(2);
 
 fn key() -> store::StoreKey {
     store::StoreKey::new(KEY)
 }
 
-/// The whole rules at `revision`; the harness checks that their body grows with it.
+/// A document of the rules at `revision`; the harness checks that its body grows with the revision.
 fn whole(revision: u64) -> gossip::LoggedChange {
     harness::whole_rules(revision)
 }
 
-/// The operator writes to the store, which no node has any part in.
+/// Writes the document as an operator, directly to the store.
 fn write(net: &mut Net, revision: u64) {
     net.write_rules(&key(), revision);
 }
@@ -37,7 +37,7 @@
     index
 }
 
-/// Sixteen nodes, of which the last four stand in another region, with the first rules in force.
+/// Sixteen ready nodes, the last four of them in another region.
 fn fleet() -> Net {
     fleet_of(5)
 }
@@ -53,7 +53,7 @@
         net.nodes.iter().all(joined)
     };
     let took = net.run_until(Duration::from_secs(8), whole);
-    assert!(whole(&net), "the fleet met within {took:?}");
+    assert!(whole(&net), "the fleet did not join within {took:?}");
     net
 }
 
@@ -64,31 +64,32 @@
 
 #[test]
 fn a_change_is_in_force_everywhere_in_time() {
-    // A route is moved; from two seconds later on no request may go the old way. Each node watches
-    // the key; revisions rise in uneven steps.
+    // Two seconds after a route is changed, no request may take the old route. The revisions of the
+    // document have gaps.
     let mut net = fleet();
     write(&mut net, 7);
     let took = net.run_until(Duration::from_secs(10), |net| holding(net, 7) == 16);
-    assert!(took <= IN_FORCE, "took {took:?}");
+    assert!(took <= IN_FORCE_LIMIT, "took {took:?}");
 }
 
 #[test]
-fn nodes_that_the_store_turns_away_hear_of_a_change_from_their_peers() {
-    // Callers at four nodes would be treated by rules that were dropped minutes ago. The store
-    // serves the others; their datagrams tell of the newer revision, and the rules are asked for.
+fn nodes_rejected_by_the_store_receive_changes_from_peers() {
+    // The store rejects four nodes, which must not apply old rules for minutes. The store serves
+    // the others; their datagrams contain the newer revision, and the four nodes pull the rules.
     let mut net = fleet();
     net.store_cut = vec![1];
     net.run(Duration::from_secs(1));
     write(&mut net, 7);
     let took = net.run_until(Duration::from_secs(10), |net| holding(net, 7) == 16);
-    assert!(took <= IN_FORCE, "took {took:?}");
+    assert!(took <= IN_FORCE_LIMIT, "took {took:?}");
 }
 
 #[test]
 fn a_node_that_restarts_without_the_store_is_met_by_its_peers() {
-    // Its callers would be refused until the store is back. It knows nobody, and it has said
-    // good-bye, so nobody looks for it; but its peers ping the addresses of those who left, and
-    // whoever answers there gets the rules.
+    // A node that restarts during an outage of the store knows no peers, and its previous instance
+    // announced that it left. Its peers ping the addresses of members that left, and the node that
+    // answers obtains the rules from them. Otherwise it would refuse requests until the store is
+    // back.
     let mut net = fleet();
     net.store_cut = vec![0, 1];
     net.act(3, fleet::FleetState::leave);
@@ -105,9 +106,9 @@
 }
 
 #[test]
-fn a_node_that_knows_no_rules_serves_nothing() {
-    // Nothing stands at the key yet. Ready nodes would answer that no route exists, and callers
-    // would take that for the truth.
+fn a_node_without_rules_serves_no_requests() {
+    // While there is no document, nodes must not become ready: they would answer that no route
+    // exists, and callers would rely on that.
     let mut net = Net::new(6);
     for slot in 0..4 {
         add(&mut net, slot, 0);
@@ -117,10 +118,10 @@
     write(&mut net, 3);
     let ready = |net: &Net| net.nodes.iter().all(|n| n.state.is_ready());
     let took = net.run_until(Duration::from_secs(10), ready);
-    assert!(took <= IN_FORCE, "took {took:?}");
+    assert!(took <= IN_FORCE_LIMIT, "took {took:?}");
 }
 
-/// One node on its own, and what it asks the store as time goes on.
+/// A single node whose store requests are answered by the test.
 struct LoneNode {
     state: fleet::FleetState,
     now: time::NodeTime,
@@ -141,8 +142,8 @@
         Self { state, now }
     }
 
-    /// The next question about the rules, and the time until it is asked.
-    fn next_ask(&mut self) -> (Duration, store::StoreId, store::StoreAsk) {
+    /// The next request about the rules, and the time until it is sent.
+    fn next_request(&mut self) -> (Duration, store::StoreId, store::StoreAsk) {
         let start = self.now;
         loop {
             self.now = self.state.next_wake().expect("it has something due");
@@ -150,12 +151,12 @@
                 let effect::FleetEffect::SendStoreRequest { id, request } = effect else {
                     continue;
                 };
-                let about = match &request {
+                let is_about_rules = match &request {
                     store::StoreAsk::List { prefix, .. }
                     | store::StoreAsk::Watch { prefix, .. } => *prefix == key(),
                     _ => false,
                 };
-                if about {
+                if is_about_rules {
                     return (self.now.since(start), id, request);
                 }
             }
@@ -181,46 +182,47 @@
     })
 }
 
-// A watch fails: its history is lost, its answer is lost, or the store is down. A change made in the
-// gap must not stay unheard, and a store that is away must not be asked without a pause.
+// A watch fails: the store lost its history, the response is lost, or the store is down. A change
+// that is made in the gap must not be missed, and a store that is down must not be called without a
+// pause.
 fn a_failed_watch_is_followed_by(
     outcome: &store::StoreOutcome,
-    reads_anew: bool,
-    least: Duration,
-    most: Duration,
+    reads_again: bool,
+    min_pause: Duration,
+    max_pause: Duration,
 ) {
     let mut node = LoneNode::new();
-    let (_, id, ask) = node.next_ask();
-    assert!(matches!(ask, store::StoreAsk::List { .. }));
+    let (_, id, request) = node.next_request();
+    assert!(matches!(request, store::StoreAsk::List { .. }));
     node.answer(id, listed(2, 40));
-    let (_, id, ask) = node.next_ask();
-    assert!(matches!(ask, store::StoreAsk::Watch { .. }));
+    let (_, id, request) = node.next_request();
+    assert!(matches!(request, store::StoreAsk::Watch { .. }));
     node.answer(id, outcome.clone());
-    let (pause, id, ask) = node.next_ask();
-    assert_eq!(matches!(ask, store::StoreAsk::List { .. }), reads_anew);
-    assert!(least <= pause && pause <= most, "{pause:?}");
+    let (pause, id, request) = node.next_request();
+    assert_eq!(matches!(request, store::StoreAsk::List { .. }), reads_again);
+    assert!(min_pause <= pause && pause <= max_pause, "{pause:?}");
     node.answer(id, listed(9, 90));
     assert_eq!(node.state.revision(), ident::RuleRevision(9));
-    // A stale answer takes nothing back.
-    let (_, id, _) = node.next_ask();
+    // A stale response does not restore older rules.
+    let (_, id, _) = node.next_request();
     node.answer(id, listed(4, 60));
     assert_eq!(node.state.revision(), ident::RuleRevision(9));
 }
 
 test_cases! {
     a_failed_watch_is_followed_by:
-    a_read_where_history_is_lost => (
+    a_read_if_history_is_lost => (
         &store::StoreOutcome::HistoryLost, true, Duration::ZERO, Duration::from_millis(20)),
-    a_pause_where_the_answer_is_lost => (
+    a_pause_if_the_response_is_lost => (
         &store::StoreOutcome::Unknown, false, Duration::from_millis(100), Duration::from_millis(1_500)),
-    a_pause_where_the_store_is_down => (
+    a_pause_if_the_store_is_down => (
         &store::StoreOutcome::Unavailable, false, Duration::from_millis(100),
         Duration::from_millis(1_500)),
 }
 
-// The store is away for a moment and comes back from a copy of some seconds ago: the newest rules and all
-// leases are gone, and its order of writes begins anew. No node goes back, and the operator's next rules
-// are in force everywhere in time, also where their place in that order is below what watchers had seen.
+// The store is restored from a copy that is some seconds old: the newest rules and all leases are
+// lost, and its versions start again. No node returns to older rules, and the operator's next rules
+// are in force everywhere in time, even if their version is below the one that watchers have seen.
 #[test]
 fn a_store_that_comes_back_older_takes_nothing_back() {
     let mut net = fleet();
@@ -241,12 +243,12 @@
         assert!(reads < 40, "{reads} reads in five seconds");
         write(&mut net, newer);
         let took = net.run_until(Duration::from_secs(10), |net| holding(net, newer) == 16);
-        assert!(took <= IN_FORCE, "took {took:?}");
+        assert!(took <= IN_FORCE_LIMIT, "took {took:?}");
     }
 }
 
-// A node starts while the store holds the older rules only. It learns the newer ones of its peers, and
-// serves nothing before.
+// A node starts while the store, restored from an older copy, holds older rules. It obtains the
+// newer ones from its peers, and is not ready before.
 #[test]
 fn a_newborn_beside_an_older_copy_learns_of_its_peers() {
     let mut net = fleet();
@@ -254,33 +256,33 @@
     write(&mut net, 7);
     net.run_until(Duration::from_secs(10), |net| holding(net, 7) == 16);
     net.store.put_back(&copy);
-    let newborn = add(&mut net, 16, 0);
-    let ready = |net: &Net| net.nodes[newborn].state.is_ready();
+    let starting = add(&mut net, 16, 0);
+    let ready = |net: &Net| net.nodes[starting].state.is_ready();
     net.run_until(Duration::from_secs(8), ready);
     assert!(ready(&net));
-    assert_eq!(net.nodes[newborn].state.revision().0, 7);
+    assert_eq!(net.nodes[starting].state.revision().0, 7);
 }
 
-// Guards against newborns that serve by rules which the fleet has left behind, at any moment before or
-// after the store came back from an older copy.
-fn newborns_beside_an_older_copy(born_before: Duration, born_after: Duration) {
+// Guards against starting nodes that serve by older rules than the fleet, whether they start before
+// or after the store is restored from an older copy.
+fn newborns_beside_an_older_copy(started_before: Duration, started_after: Duration) {
     for seed in 0..20 {
         let mut net = fleet_of(seed);
         let copy = net.store.clone();
         write(&mut net, 7);
         net.run_until(Duration::from_secs(10), |net| holding(net, 7) == 16);
         net.store.faults.down = true;
-        net.run(Duration::from_millis(500) - born_before);
-        let early = (!born_before.is_zero()).then(|| add(&mut net, 16, 0));
-        net.run(born_before);
+        net.run(Duration::from_millis(500) - started_before);
+        let early = (!started_before.is_zero()).then(|| add(&mut net, 16, 0));
+        net.run(started_before);
         net.store.put_back(&copy);
         net.store.faults.down = false;
-        net.run(born_after);
-        let newborn = early.unwrap_or_else(|| add(&mut net, 16, 0));
-        let ready = |net: &Net| net.nodes[newborn].state.is_ready();
+        net.run(started_after);
+        let starting = early.unwrap_or_else(|| add(&mut net, 16, 0));
+        let ready = |net: &Net| net.nodes[starting].state.is_ready();
         let took = net.run_until(Duration::from_secs(8), ready);
         assert!(ready(&net), "seed {seed}");
-        let revision = net.nodes[newborn].state.revision().0;
+        let revision = net.nodes[starting].state.revision().0;
         assert_eq!(revision, 7, "seed {seed}, ready after {took:?}");
     }
 }
@@ -291,9 +293,9 @@
 
 test_cases! {
     newborns_beside_an_older_copy:
-    born_while_the_store_is_away => (millis(250), millis(0)),
-    born_as_the_store_is_back => (millis(0), millis(0)),
-    born_a_moment_later => (millis(0), millis(300)),
-    born_a_second_later => (millis(0), millis(1_000)),
-    born_seconds_later => (millis(0), millis(3_000)),
+    started_while_the_store_is_down => (millis(250), millis(0)),
+    started_as_the_store_is_back => (millis(0), millis(0)),
+    started_a_moment_later => (millis(0), millis(300)),
+    started_a_second_later => (millis(0), millis(1_000)),
+    started_seconds_later => (millis(0), millis(3_000)),
 }
--- a/crates/anvil_membership/tests/rule_spread.rs
+++ b/crates/anvil_membership/tests/rule_spread.rs
@@ -1,4 +1,4 @@
-//! Rule changes against a naive version: one shared document.
+//! Rule changes, compared with a model that is one shared document.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 
 #[test]
 fn an_accepted_change_is_everywhere_within_two_seconds() {
-    // An operator applies a change through one node; every node decides by it soon after.
+    // An operator proposes a change through one node; soon after, every node applies it.
     let mut net = Net::with_store(60, 3, 21);
     net.run(Duration::from_secs(20));
     assert!(net.propose(7, 1));
@@ -23,8 +23,9 @@
 
 #[test]
 fn an_answer_lost_behind_the_effect_is_told_as_accepted() {
-    // The operator is told the truth although the store's answer to the write was lost.
-    // The write takes effect, its answer is lost, the place is read back, and the id is the own.
+    // The operator receives the correct outcome although the store's response to the write was
+    // lost. The write took effect; the entry is read back, and its change id is that of the
+    // proposal.
     let mut net = Net::with_store(6, 1, 22);
     net.store.faults.lost_answers = 100;
     assert!(net.propose(2, 9));
@@ -43,8 +44,9 @@
 
 #[test]
 fn of_two_racing_operators_one_wins_and_the_other_sees_the_change() {
-    // Two operators apply from the same revision at the same moment through two nodes.
-    // The log's place exists once: one write creates it, the other meets it and is told which.
+    // Two operators propose a change of the same revision at the same time through two nodes. Only
+    // one write creates the log entry of the next revision; the other conflicts with it and is
+    // reported with the accepted change.
     let mut net = Net::with_store(6, 2, 23);
     assert!(net.propose(0, 100));
     assert!(net.propose(1, 200));
@@ -68,9 +70,9 @@
 
 #[test]
 fn a_long_log_is_replaced_by_a_snapshot_that_newcomers_read() {
-    // A fleet that was replaced node by node must still know rules that are a thousand changes
-    // old. Watchers write snapshots and trim the log; a newcomer without peers reads the snapshot
-    // and the rest of the log, and holds the same document.
+    // Rules that are a thousand changes old must not be lost when all nodes are replaced. Watchers
+    // write snapshots and trim the log; a starting node without peers reads the snapshot and the
+    // rest of the log, and holds the same document.
     let mut net = Net::with_store(4, 1, 24);
     net.run(Duration::from_secs(30));
     for change in 1..=1_700 {
@@ -93,9 +95,9 @@
     assert_eq!(net.nodes[late].document, expected);
 }
 
-/// One thing that happens to the fleet.
+/// A proposal or a fault that the test injects.
 #[derive(Clone, Debug)]
-enum Mishap {
+enum Fault {
     Propose { node: usize },
     LoseAnswers { percent: u32 },
     LoseCalls { percent: u32 },
@@ -110,39 +112,39 @@
 const NODES: usize = 9;
 const REGIONS: usize = 3;
 
-fn mishap() -> impl Strategy<Value = Mishap> {
+fn fault() -> impl Strategy<Value = Fault> {
     let region = || proptest::option::of(0..REGIONS);
     prop_oneof![
-        6 => (0..NODES).prop_map(|node| Mishap::Propose { node }),
-        1 => (0..80u32).prop_map(|percent| Mishap::LoseAnswers { percent }),
-        1 => (0..50u32).prop_map(|percent| Mishap::LoseCalls { percent }),
-        1 => any::<bool>().prop_map(|down| Mishap::StoreDown { down }),
-        1 => region().prop_map(|region| Mishap::CutStore { region }),
-        1 => region().prop_map(|region| Mishap::Cut { region }),
-        1 => (0..40usize).prop_map(|percent| Mishap::LoseDatagrams { percent }),
-        1 => (0..NODES).prop_map(|node| Mishap::Replace { node }),
-        1 => (0..NODES, 500..8_000u64).prop_map(|(node, millis)| Mishap::Pause { node, millis }),
+        6 => (0..NODES).prop_map(|node| Fault::Propose { node }),
+        1 => (0..80u32).prop_map(|percent| Fault::LoseAnswers { percent }),
+        1 => (0..50u32).prop_map(|percent| Fault::LoseCalls { percent }),
+        1 => any::<bool>().prop_map(|down| Fault::StoreDown { down }),
+        1 => region().prop_map(|region| Fault::CutStore { region }),
+        1 => region().prop_map(|region| Fault::Cut { region }),
+        1 => (0..40usize).prop_map(|percent| Fault::LoseDatagrams { percent }),
+        1 => (0..NODES).prop_map(|node| Fault::Replace { node }),
+        1 => (0..NODES, 500..8_000u64).prop_map(|(node, millis)| Fault::Pause { node, millis }),
     ]
 }
 
-fn happen(net: &mut Net, mishap: &Mishap, next: &mut u128) {
-    match *mishap {
-        Mishap::Propose { node } => {
+fn inject(net: &mut Net, fault: &Fault, next: &mut u128) {
+    match *fault {
+        Fault::Propose { node } => {
             let index = running(net, node);
             *next += u128::from(net.propose(index, *next));
         }
-        Mishap::LoseAnswers { percent } => net.store.faults.lost_answers = percent,
-        Mishap::LoseCalls { percent } => net.store.faults.lost_calls = percent,
-        Mishap::StoreDown { down } => net.store.faults.down = down,
-        Mishap::CutStore { region } => net.store_cut = region.into_iter().collect(),
-        Mishap::Cut { region } => net.cut = region.into_iter().collect(),
-        Mishap::LoseDatagrams { percent } => net.loss_percent = percent,
-        Mishap::Replace { node } => {
+        Fault::LoseAnswers { percent } => net.store.faults.lost_answers = percent,
+        Fault::LoseCalls { percent } => net.store.faults.lost_calls = percent,
+        Fault::StoreDown { down } => net.store.faults.down = down,
+        Fault::CutStore { region } => net.store_cut = region.into_iter().collect(),
+        Fault::Cut { region } => net.cut = region.into_iter().collect(),
+        Fault::LoseDatagrams { percent } => net.loss_percent = percent,
+        Fault::Replace { node } => {
             let index = running(net, node);
             net.crash(index);
             net.add_at(node, node % REGIONS, &harness::with_store());
         }
-        Mishap::Pause { node, millis } => {
+        Fault::Pause { node, millis } => {
             let index = running(net, node);
             net.nodes[index].paused_until = net.now + Duration::from_millis(millis);
         }
@@ -156,14 +158,17 @@
     found.expect("one node runs at each address")
 }
 
-/// What the naive version would hold: one shared document that accepted changes are appended to.
-fn check_against_naive(net: &Net) {
+/// Compares the nodes with the model: one shared document that accepted changes are appended to.
+fn check_against_model(net: &Net) {
     let document = &net.nodes[running(net, 0)].document;
     for node in &net.nodes {
         if node.running {
-            assert_eq!(&node.document, document, "every node holds the same");
+            assert_eq!(
+                &node.document, document,
+                "the documents of two nodes differ"
+            );
         }
-        assert!(document.starts_with(&node.document), "nothing was undone");
+        assert!(document.starts_with(&node.document), "a change was undone");
         for (change, revision, end) in &node.proposals {
             let place = document.iter().position(|id| id == change);
             match end {
@@ -172,7 +177,10 @@
                 }
                 proposal::ProposalOutcome::Conflict { .. }
                 | proposal::ProposalOutcome::Unavailable => {
-                    assert_eq!(place, None, "told as not accepted, so not in force");
+                    assert_eq!(
+                        place, None,
+                        "a change is in force that was reported as not accepted"
+                    );
                 }
                 proposal::ProposalOutcome::Unknown => {}
             }
@@ -190,16 +198,16 @@
 
     #[test]
     fn every_accepted_change_is_in_force_everywhere_once_the_network_heals(
-        mishaps in proptest::collection::vec((mishap(), 50..3_000u64), 5..40),
+        faults in proptest::collection::vec((fault(), 50..3_000u64), 5..40),
     ) {
-        // Operators are never told something else than what then holds on every node, whatever
-        // was lost, cut, replaced or paused meanwhile. Forty-five seconds after the last fault
-        // are the longest pause after failed reads, a watch, a healed partition and spreading.
+        // The outcomes that operators receive agree with the rules on every node, whatever was
+        // lost, cut, replaced or paused. Forty-five seconds after the last fault cover the longest
+        // pause after failed reads, a watch, the healing of a partition and the dissemination.
         let mut net = Net::with_store(NODES, REGIONS, 31);
         net.run(Duration::from_secs(10));
         let mut next = 1;
-        for (mishap, millis) in &mishaps {
-            happen(&mut net, mishap, &mut next);
+        for (fault, millis) in &faults {
+            inject(&mut net, fault, &mut next);
             net.run(Duration::from_millis(*millis));
         }
         net.store.faults = anvil_standins::store::fake::StoreFaults::default();
@@ -207,15 +215,14 @@
         net.cut.clear();
         net.loss_percent = 0;
         net.run(Duration::from_secs(45));
-        check_against_naive(&net);
+        check_against_model(&net);
     }
 }
 
 #[test]
 fn a_census_counts_every_node_and_names_the_silent_one() {
-    // An operator who waits is told on how many nodes the change is in force, and which lag.
-    // One of 300 nodes is paused; the count comes back through the tree with it as silent, and no
-    // node had to handle 300 replies.
+    // An operator can see on how many nodes a change is in force, and which nodes lag. One of 300
+    // nodes is paused; the count reports it as silent, and no node handles 300 replies.
     let mut net = Net::joined(300, 3, 25);
     net.run(Duration::from_secs(5));
     net.nodes[123].paused_until = net.now + Duration::from_secs(5);
--- a/crates/anvil_membership/tests/store_calls.rs
+++ b/crates/anvil_membership/tests/store_calls.rs
@@ -1,4 +1,5 @@
-//! How often a fleet asks the store where one key holds the rules, and what a change of that key takes.
+//! The store calls of a fleet that reads its rules from a document, and the time until a change of
+//! the document is in force.
 
 #![allow(clippy::unwrap_used)]
 
@@ -14,27 +15,27 @@
 
 const KEY: &str = "rules-of-the-operator";
 
-/// Zones of the fleets.
+/// Number of zones of the fleets.
 const ZONES: usize = 6;
 
-/// A calm time.
-const CALM: Duration = Duration::from_secs(60);
+/// A period without changes.
+const QUIET_PERIOD: Duration = Duration::from_secs(60);
 
-/// Calls that one zone may cost in the calm time: two waiting watches, begun again every two and a half
-/// seconds, three leases renewed every five seconds, and some for what goes on beside.
-const CALLS_OF_A_ZONE: u64 = 2 * 24 + 3 * 12 + 10;
+/// Maximum number of calls of one zone in the quiet period: two watches, renewed every two and a
+/// half seconds, three leases, renewed every five seconds, and a margin for other calls.
+const MAX_CALLS_PER_ZONE: u64 = 2 * 24 + 3 * 12 + 10;
 
-/// Calls that looks at the key may cost in the calm time, one a second over the whole fleet.
-const LOOKS: u64 = 60 + 20;
+/// Maximum number of polls of the document in the quiet period, one a second over the whole fleet.
+const MAX_POLLS: u64 = 60 + 20;
 
-/// Calls that a node may cost when it starts: its contacts, and the rules.
-const CALLS_OF_A_START: u64 = 3;
+/// Maximum number of calls of a starting node, for the contacts and the rules.
+const MAX_CALLS_PER_START: u64 = 3;
 
-/// Within this, operators expect a change to be in force everywhere.
-const IN_FORCE: Duration = Duration::from_secs(2);
+/// Time within which operators expect a change to be in force everywhere.
+const IN_FORCE_LIMIT: Duration = Duration::from_secs(2);
 
-/// The same while the store turns nodes away: the look of a node that it serves comes first.
-const IN_FORCE_IN_PART: Duration = Duration::from_secs(7);
+/// The same if no watcher is left: another node has to poll the document first.
+const IN_FORCE_LIMIT_WITHOUT_WATCHERS: Duration = Duration::from_secs(7);
 
 fn key() -> store::StoreKey {
     store::StoreKey::new(KEY)
@@ -62,7 +63,7 @@
         net.nodes.iter().all(joined)
     };
     let took = net.run_until(Duration::from_secs(20), whole);
-    assert!(whole(&net), "the fleet met within {took:?}");
+    assert!(whole(&net), "the fleet did not join within {took:?}");
     net
 }
 
@@ -82,42 +83,46 @@
     assert!(took <= bound, "revision {revision} took {took:?}");
 }
 
-// The store's users pay for each call. Two hundred nodes that each watch the key cost thousands of calls
-// a minute for a change that comes twice a day; now two of each zone watch, the others hear of it.
-fn calm_calls_go_with_the_zones(size: usize) {
+// The store's users pay for each call. If each of two hundred nodes watched the document, that
+// would cost thousands of calls a minute for a change that is made twice a day. Two nodes of each
+// zone watch, and the others receive the change from them.
+fn quiet_calls_depend_on_the_zones(size: usize) {
     let mut net = fleet(size);
     let starts = calls(&net);
     let size = size as u64;
-    let zones = ZONES as u64 * CALLS_OF_A_ZONE;
+    let zones = ZONES as u64 * MAX_CALLS_PER_ZONE;
     assert!(
-        starts <= size * CALLS_OF_A_START + zones + LOOKS,
+        starts <= size * MAX_CALLS_PER_START + zones + MAX_POLLS,
         "{starts} calls at the start"
     );
     net.run(Duration::from_secs(20));
     let before = calls(&net);
-    net.run(CALM);
-    let calm = calls(&net) - before;
-    assert!(calm <= zones + LOOKS, "{calm} calls in a calm minute");
+    net.run(QUIET_PERIOD);
+    let quiet_calls = calls(&net) - before;
+    assert!(
+        quiet_calls <= zones + MAX_POLLS,
+        "{quiet_calls} calls in a quiet minute"
+    );
 }
 
 test_cases! {
-    calm_calls_go_with_the_zones:
+    quiet_calls_depend_on_the_zones:
     of_twenty_four_nodes => (24),
     of_ninety_six_nodes => (96),
     of_a_hundred_and_ninety_two_nodes => (192),
 }
 
-/// The nodes of `net` that wait at the store for a change.
+/// The nodes of `net` that have a pending watch of the document.
 fn watchers(net: &Net) -> Vec<usize> {
     let running = net.nodes.iter().enumerate().filter(|(_, n)| n.running);
     let watching = running.filter(|(_, n)| n.state.watches_rules());
     watching.map(|(index, _)| index).collect()
 }
 
-// Operators change a route again and again while those that watch the key vanish, a pair at a time. Each
-// change is everywhere in time: other pairs see it, and the next of the zone take over.
+// Operators change a route repeatedly while the watchers of the document crash, a pair at a time.
+// Each change arrives in time: other pairs see it, and the next nodes of the zone become watchers.
 #[test]
-fn changes_arrive_while_watchers_vanish_in_series() {
+fn changes_arrive_while_pairs_of_watchers_crash() {
     let mut net = fleet(48);
     for revision in 3..12 {
         let lost: Vec<usize> = watchers(&net).into_iter().take(2).collect();
@@ -126,47 +131,47 @@
             net.crash(index);
         }
         net.run(Duration::from_millis(300));
-        assert_in_force(&mut net, revision, IN_FORCE);
+        assert_in_force(&mut net, revision, IN_FORCE_LIMIT);
     }
 }
 
-// All that watch vanish at the same moment, and a change comes in that moment. The looks of the others
-// find it, or those that took over.
+// All watchers crash at once, and a change is made at the same moment. A poll of another node finds
+// it, or one of the next watchers.
 #[test]
-fn a_change_arrives_though_all_watchers_vanish() {
+fn a_change_arrives_although_all_watchers_crash() {
     let mut net = fleet(48);
     for index in watchers(&net) {
         net.crash(index);
     }
-    assert_in_force(&mut net, 3, IN_FORCE_IN_PART);
+    assert_in_force(&mut net, 3, IN_FORCE_LIMIT_WITHOUT_WATCHERS);
 }
 
-// The store turns the nodes of four zones away, then those of the other two, then serves all again.
+// The store rejects the nodes of four zones, then those of the other two, then serves all again.
 #[test]
 fn a_change_arrives_from_the_zones_that_the_store_serves() {
     let mut net = fleet(48);
     net.store_cut = vec![0, 1, 2, 3];
     net.run(Duration::from_secs(5));
-    assert_in_force(&mut net, 3, IN_FORCE);
+    assert_in_force(&mut net, 3, IN_FORCE_LIMIT);
     net.store_cut = vec![4, 5];
     net.run(Duration::from_secs(5));
-    assert_in_force(&mut net, 4, IN_FORCE);
+    assert_in_force(&mut net, 4, IN_FORCE_LIMIT);
     net.store_cut = Vec::new();
     net.run(Duration::from_secs(5));
-    assert_in_force(&mut net, 5, IN_FORCE);
+    assert_in_force(&mut net, 5, IN_FORCE_LIMIT);
 }
 
-// The store is down for a while, and an operator's change is the first thing that it does afterwards.
+// The store is down for a while, and an operator's change is the first write after the outage.
 #[test]
 fn a_change_right_after_an_outage_arrives() {
     let mut net = fleet(48);
     net.store.faults.down = true;
     net.run(Duration::from_secs(8));
     net.store.faults.down = false;
-    assert_in_force(&mut net, 3, IN_FORCE);
+    assert_in_force(&mut net, 3, IN_FORCE_LIMIT);
 }
 
-// Half of the fleet is stopped and comes back with new identities, while changes go on. Nobody serves by
+// Half of the nodes are replaced by nodes with new ids while changes are made. No node serves by
 // old rules for longer than operators expect.
 #[test]
 fn changes_arrive_while_half_of_the_fleet_is_replaced() {
@@ -178,6 +183,6 @@
             add(&mut net, slot);
         }
         net.run(Duration::from_millis(700));
-        assert_in_force(&mut net, 3 + round as u64, IN_FORCE);
+        assert_in_force(&mut net, 3 + round as u64, IN_FORCE_LIMIT);
     }
 }
--- a/crates/anvil_membership/tests/store_contacts.rs
+++ b/crates/anvil_membership/tests/store_contacts.rs
@@ -1,4 +1,4 @@
-//! Joining through the store, its outages, and how much it is asked.
+//! Joining through the store, its outages, and the number of calls to it.
 
 #![allow(clippy::unwrap_used)]
 
@@ -12,8 +12,8 @@
 use harness::Net;
 
 #[test]
-fn a_fleet_finds_itself_through_the_store_alone() {
-    // Nodes start together with no seed; each zone's contacts stand in the store soon after.
+fn a_fleet_joins_through_the_store_alone() {
+    // Nodes start together without seeds; soon after, the store has the contacts of each zone.
     let mut net = Net::with_store(30, 3, 11);
     net.run(Duration::from_secs(30));
     let contacts = net.store.entries();
@@ -23,8 +23,8 @@
 }
 
 #[test]
-fn the_store_is_asked_by_zones_and_not_by_nodes() {
-    // The store counts every call; four times the nodes in the same zones must not raise the rate.
+fn store_calls_depend_on_zones_and_not_on_nodes() {
+    // Four times as many nodes in the same zones must not raise the rate of store calls.
     let rate = |size: usize| {
         let mut net = Net::with_store(size, 3, 12);
         net.run(Duration::from_secs(60));
@@ -39,8 +39,8 @@
 
 #[test]
 fn a_joiner_during_an_outage_waits_and_then_serves() {
-    // A caller of a fresh node is refused as not run until the store is back: without a seed the
-    // node knows nobody, so it can't tell whether its rules are old.
+    // A node that starts during an outage without a seed knows no peers, so it cannot tell whether
+    // its rules are old. It refuses requests as not run until the store is back.
     let mut net = Net::with_store(12, 2, 13);
     net.store.faults.down = true;
     let late = net.add(0, &harness::with_store());
@@ -54,9 +54,9 @@
 
 #[test]
 fn a_joiner_with_a_seed_learns_the_rules_from_peers_in_an_outage() {
-    // A caller of the fresh node is served by the rules in force although the store is down.
-    // The node joins through a seed, pulls the changes from peers, hears three ready members
-    // that hold no more, and knows that the store can't be read.
+    // A starting node serves by the rules in force although the store is down. It joins through a
+    // seed, pulls the changes from peers, receives messages of three ready members that have no
+    // newer rules, and knows that the store can't be read.
     let mut net = Net::with_store(12, 2, 14);
     assert!(net.propose(3, 77));
     net.run(Duration::from_secs(5));
@@ -72,13 +72,14 @@
 
 #[test]
 fn what_others_wrote_at_the_contacts_keys_keeps_no_newcomer_out() {
-    // Another program has written at the keys of all contacts, for good and in a form that no node
-    // reads. Nodes that start then find each other all the same: what names no node is replaced.
+    // Another program has written values to the keys of all contacts, without a lease and in a
+    // format that no node can decode. Nodes that start then still find each other, since a value
+    // that names no node is replaced.
     let mut net = Net::new(16);
     let zone = name::ZoneName::new("zone-0").unwrap();
     let junk: [&[u8]; 3] = [b"", b"\xff\xfe", b"{\"address\":\"10.0.0.9\"}"];
     for (slot, value) in junk.into_iter().enumerate() {
-        let ask = store::StoreAsk::Swap {
+        let request = store::StoreAsk::Swap {
             key: keys::contact(&zone, u8::try_from(slot).unwrap()),
             base: store::SwapBase::Absent,
             value: bytes::Bytes::copy_from_slice(value),
@@ -88,7 +89,7 @@
             part: store::StorePart::Fleet,
             sequence: 1,
         };
-        let outcome = net.store.carry_out(net.now, (usize::MAX, id), &ask);
+        let outcome = net.store.carry_out(net.now, (usize::MAX, id), &request);
         assert!(matches!(outcome, Some(store::StoreOutcome::Done(_))));
     }
     for _ in 0..6 {
@@ -96,13 +97,13 @@
     }
     let whole = |net: &Net| net.nodes.iter().all(|node| node.state.table().live() == 6);
     net.run_until(Duration::from_secs(90), whole);
-    assert!(whole(&net), "the fleet joined through the store");
+    assert!(whole(&net), "the fleet did not join through the store");
 }
 
 #[test]
-fn a_vanished_watcher_is_replaced() {
-    // A change accepted through any node must still be seen by watchers after some crashed.
-    // Both watchers of a zone vanish; their leases lapse, others take the slots and watch.
+fn crashed_watchers_are_replaced() {
+    // A change that is accepted through any node must reach watchers although some crashed. Both
+    // watchers of a zone crash; their leases expire, and other nodes claim the slots and watch.
     let mut net = Net::with_store(12, 1, 15);
     net.run(Duration::from_secs(30));
     for index in 0..12 {
@@ -125,9 +126,9 @@
 
 #[test]
 fn a_leaving_contact_gives_its_slot_back() {
-    // During a rolling restart newcomers must always find contacts that live.
-    // The contact says that it leaves; its entry is removed at once and another node takes the
-    // slot long before the lease would have lapsed and the vacancy been noticed.
+    // During a rolling restart, starting nodes must always find live contacts. A contact announces
+    // that it leaves; its entry is removed immediately, and another node claims the slot long
+    // before the lease would have expired and the vacancy been detected.
     let mut net = Net::with_store(12, 1, 16);
     net.run(Duration::from_secs(30));
     let slot = |net: &Net, index: usize| {
@@ -143,7 +144,7 @@
     net.act(index, |state, now| state.set_local_target(now, &leaving));
     net.run(Duration::from_millis(50));
     let first = |net: &Net| net.store.entries().any(|e| e.key.as_str().ends_with("/0"));
-    assert!(!first(&net), "the entry is gone");
+    assert!(!first(&net), "the entry was not removed");
     let taken = |net: &Net| first(net);
     let took = net.run_until(Duration::from_secs(30), taken);
     assert!(took <= Duration::from_secs(14), "took {took:?}");
--- a/crates/anvil_membership/tests/thousand.rs
+++ b/crates/anvil_membership/tests/thousand.rs
@@ -1,4 +1,4 @@
-//! One node when a thousand members vanish, or a thousand join, at the same moment.
+//! One node when a thousand members crash, or a thousand join, at the same time.
 
 use std::time::Duration;
 
@@ -50,8 +50,8 @@
     fleet::FleetState::new(config, &local, 1, time::NodeTime::from_millis(1))
 }
 
-/// A node that another has told of all members.
-fn knowing_all(now: time::NodeTime) -> fleet::FleetState {
+/// A node that received the claims of all members from another node.
+fn with_all_members(now: time::NodeTime) -> fleet::FleetState {
     let mut state = start();
     let members: Vec<_> = (1..MEMBERS).map(alive).collect();
     for part in members.chunks(1_000) {
@@ -79,23 +79,24 @@
 }
 
 #[test]
-fn a_thousand_lost_members_end_and_no_living_one() {
-    // Callers keep every target of the zones that live while one zone's thousand vanish at once.
-    // Pings to the lost stay unanswered, the others' claims about their ends arrive over some
-    // seconds, and the node neither accuses the living nor exceeds its budget of bytes.
+fn a_thousand_crashed_members_depart_and_no_live_one() {
+    // When a zone of a thousand members is lost, all targets of other zones stay. Pings to the lost
+    // members are not answered, and other nodes' claims about their departures arrive over some
+    // seconds. The node accuses no live member and does not exceed its limit of sent bytes.
     let mut now = time::NodeTime::from_millis(2);
-    let mut state = knowing_all(now);
-    let mut told = MEMBERS - LOST;
+    let mut state = with_all_members(now);
+    let mut announced = MEMBERS - LOST;
     let mut bytes = 0;
     for tick in 0..400_usize {
         now = now + Duration::from_millis(50);
-        if tick % 10 == 0 && told < MEMBERS {
-            let ends = (told..(told + 40).min(MEMBERS)).map(|index| gossip::MemberUpdate {
-                standing: gossip::MemberStanding::Gone,
-                ..alive(index)
-            });
-            let message = datagram(1, gossip::GossipKind::Rumour, ends.collect());
-            told += 40;
+        if tick % 10 == 0 && announced < MEMBERS {
+            let departures =
+                (announced..(announced + 40).min(MEMBERS)).map(|index| gossip::MemberUpdate {
+                    standing: gossip::MemberStanding::Gone,
+                    ..alive(index)
+                });
+            let message = datagram(1, gossip::GossipKind::Rumour, departures.collect());
+            announced += 40;
             state.on_datagram(now, harness::address(1), &message);
         }
         let mut effects = state.on_wake(now);
@@ -104,26 +105,26 @@
                 continue;
             };
             bytes += postcard::to_stdvec(&message).map_or(0, |bytes| bytes.len());
-            let living = (1..MEMBERS - LOST).find(|index| harness::address(*index) == to);
-            if let (Some(from), gossip::GossipKind::Ping { probe, to }) = (living, message.kind) {
+            let live = (1..MEMBERS - LOST).find(|index| harness::address(*index) == to);
+            if let (Some(from), gossip::GossipKind::Ping { probe, to }) = (live, message.kind) {
                 let ack = datagram(from, gossip::GossipKind::Ack { probe, of: to }, Vec::new());
                 effects.extend(state.on_datagram(now, harness::address(from), &ack));
             }
         }
     }
     assert_eq!(state.table().live(), MEMBERS - LOST);
-    let living = (0..MEMBERS - LOST).map(|index| state.table().get(harness::id(index)));
-    assert!(living.flatten().all(|record| record.state.is_live()));
+    let live = (0..MEMBERS - LOST).map(|index| state.table().get(harness::id(index)));
+    assert!(live.flatten().all(|record| record.state.is_live()));
     assert!(bytes / 20 < 4_096, "{} bytes a second", bytes / 20);
 }
 
 #[test]
 fn digests_are_compared_with_few_members_in_an_hour() {
-    // A node must not collect a connection to each member of a large fleet.
-    // Each digest goes over a connection that stays open; in an hour of a hundred digests the
-    // partners stay a dozen, the distances around the identities, and the first random ones.
+    // A node must not open a connection to each member of a large fleet. Each digest is sent over a
+    // connection that stays open; in an hour of a hundred digests, there are only about a dozen
+    // peers: the successors on the ring of ids, and the first random ones.
     let mut now = time::NodeTime::from_millis(2);
-    let mut state = knowing_all(now);
+    let mut state = with_all_members(now);
     let mut partners = Vec::new();
     let mut digests = 0;
     for _ in 0..36_000 {
@@ -152,9 +153,9 @@
 
 #[test]
 fn a_thousand_joiners_cost_their_seed_one_small_answer_each() {
-    // Callers of a seed notice nothing when a thousand nodes join through it in one second.
-    // Each join is answered with a few members, from which the joiner takes the fleet; the seed
-    // itself sends no bulk and tells the others within its budget of rumours.
+    // A seed is not overloaded when a thousand nodes join through it within a second. It answers
+    // each join with a few members, from which the node obtains the others. The seed itself sends
+    // no bulk messages, and its rumours stay within their budget.
     let mut state = start();
     let mut now = time::NodeTime::from_millis(2);
     let mut answers = 0;
@@ -173,7 +174,7 @@
                         _ => others += 1,
                     }
                 }
-                effect::FleetEffect::SendSync { .. } => panic!("the seed sends bulk"),
+                effect::FleetEffect::SendSync { .. } => panic!("the seed sent a bulk message"),
                 _ => {}
             }
         }
