--- a/crates/anvil_membership/src/fleet/claims.rs
+++ b/crates/anvil_membership/src/fleet/claims.rs
@@ -1,4 +1,4 @@
-//! Claims about members: taking them in and repeating them.
+//! Claims about members: applying them and relaying them.
 
 use anvil_types::{ident, time};
 use anvil_wire::gossip;
@@ -6,7 +6,7 @@
 use crate::{effect, fleet, member, suspicion};
 
 impl fleet::FleetState {
-    /// Takes one claim in; older ones and repetitions change nothing.
+    /// Applies one claim; older and repeated claims change nothing.
     pub(super) fn apply(
         &mut self,
         now: time::NodeTime,
@@ -14,22 +14,22 @@
         out: &mut Vec<effect::FleetEffect>,
     ) {
         if update.node == self.local {
-            self.hear_of_self(now, update, out);
+            self.apply_self_claim(now, update, out);
             return;
         }
         match &update.standing {
-            gossip::MemberStanding::Alive(facts) => self.hear_alive(now, update, facts, out),
-            gossip::MemberStanding::Suspect { by } => self.hear_suspect(now, update, *by, out),
+            gossip::MemberStanding::Alive(facts) => self.apply_alive(now, update, facts, out),
+            gossip::MemberStanding::Suspect { by } => self.apply_suspect(now, update, *by, out),
             gossip::MemberStanding::Gone => {
-                self.hear_end(now, update, effect::DepartureReason::Crashed, out);
+                self.apply_departure(now, update, effect::DepartureReason::Crashed, out);
             }
             gossip::MemberStanding::Left => {
-                self.hear_end(now, update, effect::DepartureReason::Left, out);
+                self.apply_departure(now, update, effect::DepartureReason::Left, out);
             }
         }
     }
 
-    /// The present claim about `node`, where it is known.
+    /// The current claim about `node`, if it is known.
     pub(super) fn claim(&self, node: ident::NodeId) -> Option<gossip::MemberUpdate> {
         let record = self.table.get(node)?;
         let standing = match record.state {
@@ -49,10 +49,10 @@
         })
     }
 
-    /// What a member that may know nothing of `node` needs to hear: the facts, where it is live.
+    /// The claim about `node` for a receiver that may not know it: with the facts, if it is live.
     ///
-    /// A bare suspicion would tell such a member nothing, since it has no address to go with it.
-    pub(super) fn whole_claim(&self, node: ident::NodeId) -> Option<gossip::MemberUpdate> {
+    /// Such a receiver could not use a suspicion, since it has no address of the member.
+    pub(super) fn full_claim(&self, node: ident::NodeId) -> Option<gossip::MemberUpdate> {
         let record = self.table.get(node)?;
         if !record.state.is_live() {
             return self.claim(node);
@@ -64,7 +64,7 @@
         })
     }
 
-    /// Accuses `node` in this node's own name.
+    /// Accuses `node` after a failed probe of this node.
     pub(super) fn accuse(
         &mut self,
         now: time::NodeTime,
@@ -83,8 +83,12 @@
         self.suspicions.ping_as_accuser(node, now);
     }
 
-    /// Asks the accused again, so that a refutation reaches its accuser on the shortest way.
-    pub(super) fn ask_suspects(&mut self, now: time::NodeTime, out: &mut Vec<effect::FleetEffect>) {
+    /// Pings suspects, so that a refutation reaches this node directly.
+    pub(super) fn ping_suspects(
+        &mut self,
+        now: time::NodeTime,
+        out: &mut Vec<effect::FleetEffect>,
+    ) {
         self.suspicions
             .ping_unresolved(self.config.suspicion_ceiling, now);
         for node in self
@@ -96,20 +100,20 @@
         }
     }
 
-    /// Declares the suspects gone whose time is over.
-    pub(super) fn judge_suspects(
+    /// Declares the suspects dead whose deadline has passed.
+    pub(super) fn expire_suspects(
         &mut self,
         now: time::NodeTime,
         out: &mut Vec<effect::FleetEffect>,
     ) {
         let live = self.table.live();
         for node in self.suspicions.due(&self.config, live, now) {
-            self.end(now, node, effect::DepartureReason::Crashed, out);
+            self.mark_departed(now, node, effect::DepartureReason::Crashed, out);
         }
     }
 
-    /// Ends a live member.
-    pub(super) fn end(
+    /// Marks a live member as departed, and relays and reports its departure.
+    pub(super) fn mark_departed(
         &mut self,
         now: time::NodeTime,
         node: ident::NodeId,
@@ -132,7 +136,7 @@
             effect::DepartureReason::Crashed => self.counters.members_crashed += 1,
             effect::DepartureReason::Replaced => self.counters.members_replaced += 1,
         }
-        self.note_end(now);
+        self.note_departure(now);
         self.relay(node);
         out.push(effect::FleetEffect::MemberDeparted { node, reason });
         out.push(effect::FleetEffect::Report(effect::FleetReport::Departed {
@@ -147,8 +151,8 @@
         latest.copied().unwrap_or(self.local)
     }
 
-    /// Refutes whatever is said of this node that it did not say itself.
-    fn hear_of_self(
+    /// Refutes claims about this node that it did not make itself.
+    fn apply_self_claim(
         &mut self,
         now: time::NodeTime,
         update: &gossip::MemberUpdate,
@@ -156,8 +160,9 @@
     ) {
         let alive = member::claimed_state(&update.standing) == member::MemberState::Alive;
         if update.incarnation < self.incarnation {
-            // Refuted before, but the sender missed it and would end this node although it
-            // answers each of its pings: the refutation goes along with the next answer.
+            // The claim is already refuted, but the sender missed the refutation. It would declare
+            // this node dead although it acks every ping, so the next datagrams carry the
+            // refutation again.
             if !alive {
                 self.relay_claim(self.local, true);
             }
@@ -183,7 +188,7 @@
         }));
     }
 
-    fn hear_alive(
+    fn apply_alive(
         &mut self,
         now: time::NodeTime,
         update: &gossip::MemberUpdate,
@@ -193,7 +198,7 @@
         let known = self.table.get(update.node);
         let rank = (update.incarnation, member::MemberState::Alive);
         if known.is_some_and(|r| rank <= r.rank()) {
-            self.take_late_facts(update, facts, out);
+            self.apply_late_facts(update, facts, out);
             return;
         }
         let was_live = known.is_some_and(|r| r.state.is_live());
@@ -216,7 +221,7 @@
             self.counters.claims_refused += 1;
             return;
         }
-        // A refutation must be faster than the suspicion's end.
+        // A refutation has to arrive before the deadline of the suspicion.
         let refutes = self.suspicions.get(update.node).is_some();
         self.suspicions.clear(update.node);
         if refutes {
@@ -224,10 +229,10 @@
         } else {
             self.relay(update.node);
         }
-        self.tell_alive(update.node, was_live, out);
+        self.report_live(update.node, was_live, out);
     }
 
-    fn tell_alive(
+    fn report_live(
         &mut self,
         node: ident::NodeId,
         was_live: bool,
@@ -245,8 +250,8 @@
         out.push(effect::FleetEffect::MemberUp(view));
     }
 
-    /// Keeps facts that arrive behind a suspicion of their own incarnation.
-    fn take_late_facts(
+    /// Applies facts that arrive after a suspicion of their incarnation.
+    fn apply_late_facts(
         &mut self,
         update: &gossip::MemberUpdate,
         facts: &gossip::MemberFacts,
@@ -267,7 +272,7 @@
         }
     }
 
-    fn hear_suspect(
+    fn apply_suspect(
         &mut self,
         now: time::NodeTime,
         update: &gossip::MemberUpdate,
@@ -280,7 +285,7 @@
             return;
         };
         if rank > record.rank() && record.state == member::MemberState::Suspect {
-            // The accusers of the former incarnation say nothing about this one.
+            // Accusations of the previous incarnation do not apply to this one.
             self.suspicions.clear(node);
         }
         let was_live = record.state.is_live();
@@ -291,7 +296,7 @@
             suspicion::Accusation::First => {
                 self.counters.suspicions += 1;
                 self.relay(node);
-                self.tell_alive(node, was_live, out);
+                self.report_live(node, was_live, out);
                 out.push(effect::FleetEffect::Report(
                     effect::FleetReport::Suspected { node, by },
                 ));
@@ -299,7 +304,7 @@
         }
     }
 
-    fn hear_end(
+    fn apply_departure(
         &mut self,
         now: time::NodeTime,
         update: &gossip::MemberUpdate,
@@ -313,10 +318,10 @@
         };
         let was_live = record.state.is_live();
         if was_live {
-            // Raise the incarnation first, so that the end is told under the one claimed.
+            // Sets the incarnation first, so that the departure is relayed with the claimed one.
             let live = (update.incarnation, record.state);
             self.table.set_state(node, live, now);
-            self.end(now, node, reason, out);
+            self.mark_departed(now, node, reason, out);
         } else {
             self.table.set_state(node, rank, now);
         }
--- a/crates/anvil_membership/src/fleet/counting.rs
+++ b/crates/anvil_membership/src/fleet/counting.rs
@@ -1,4 +1,4 @@
-//! Carrying out a census: cutting it into parts, summing the replies.
+//! Carries out a census: splits it into parts and sums their replies.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,16 +9,17 @@
 use crate::{census, effect, fleet};
 
 impl fleet::FleetState {
-    /// Counts on how many members the revision held is in force; see [`Self::census`].
+    /// Starts to count on how many members this node's revision is in force; [`Self::census`]
+    /// returns the result.
     ///
-    /// Nothing is asked while an operator's count is under way.
+    /// Does nothing while an earlier count of an operator is open.
     pub fn count_revision(&mut self, now: time::NodeTime) -> Vec<effect::FleetEffect> {
         let mut out = Vec::new();
         let mut open = self.census.open.iter();
         if open.any(|open| open.requester == census::CensusRequester::Operator) {
             return out;
         }
-        let asked = gossip::CensusCount::default();
+        let count = gossip::CensusCount::default();
         let whole = (ident::NodeId(0), ident::NodeId(u64::MAX));
         let revision = self.revision();
         let requester = census::CensusRequester::Operator;
@@ -26,7 +27,7 @@
             now,
             requester,
             revision,
-            asked,
+            count,
             whole,
             census::TIMEOUT,
             &mut out,
@@ -34,12 +35,12 @@
         out
     }
 
-    /// The last whole count that was asked for here.
+    /// The last complete count that an operator requested through this node.
     pub fn census(&self) -> Option<&census::CensusResult> {
         self.census.last.as_ref()
     }
 
-    /// Takes a message of a count.
+    /// Handles a request or a reply of a count.
     pub(super) fn on_census(
         &mut self,
         now: time::NodeTime,
@@ -59,31 +60,31 @@
                     to: from,
                     census: *census,
                 };
-                let wait = Duration::from_millis(u64::from(*wait_millis)).min(census::TIMEOUT);
+                let timeout = Duration::from_millis(u64::from(*wait_millis)).min(census::TIMEOUT);
                 let part = (*first, *last);
-                let asked = gossip::CensusCount::default();
-                self.begin_census(now, requester, *revision, asked, part, wait, out);
+                let count = gossip::CensusCount::default();
+                self.begin_census(now, requester, *revision, count, part, timeout, out);
             }
             gossip::CensusMessage::Reply { census, count } => {
-                self.on_part(now, *census, count, out);
+                self.on_part_reply(now, *census, count, out);
             }
         }
     }
 
-    /// Ends the counts whose time is over.
+    /// Retries silent parts, and ends the counts whose deadline has passed.
     pub(super) fn census_when_due(
         &mut self,
         now: time::NodeTime,
         out: &mut Vec<effect::FleetEffect>,
     ) {
         self.retry_parts(now, out);
-        while let Some(place) = self
+        while let Some(index) = self
             .census
             .open
             .iter()
             .position(|open| open.deadline <= now)
         {
-            let mut open = self.census.open.remove(place);
+            let mut open = self.census.open.remove(index);
             open.count_missing_as_silent();
             self.end_census(now, open, out);
         }
@@ -97,7 +98,7 @@
         revision: ident::RuleRevision,
         mut count: gossip::CensusCount,
         part: (ident::NodeId, ident::NodeId),
-        wait: Duration,
+        timeout: Duration,
         out: &mut Vec<effect::FleetEffect>,
     ) {
         if self.census.open.len() >= census::OPEN_LIMIT {
@@ -113,27 +114,27 @@
         let members = members.filter(|m| m.state.is_live() && m.node != self.local);
         let members: Vec<_> = members.map(|m| m.node).collect();
         let size = members.len().div_ceil(census::PARTS).max(1);
-        // No part spans this node, which would be counted once more by the part's counter.
-        let (before, behind) = members.split_at(members.partition_point(|n| *n < self.local));
-        let parts = before.chunks(size).chain(behind.chunks(size));
+        // A part that spans this node's id would make the part's counter count this node again.
+        let (before, after) = members.split_at(members.partition_point(|n| *n < self.local));
+        let parts = before.chunks(size).chain(after.chunks(size));
         let parts = parts.map(|members| census::OpenPart {
             members: members.to_vec(),
             counter: self.local,
             answered: false,
         });
-        let part_timeout = wait * census::PART_TIMEOUT_SHARE / census::PART_TIMEOUT_WHOLE;
+        let part_timeout = timeout * census::PART_TIMEOUT_SHARE / census::PART_TIMEOUT_WHOLE;
         let mut open = census::OpenCensus {
             number: self.census.next_number,
             requester,
             revision,
             count,
             parts: parts.collect(),
-            retry_at: Some(now + wait / 2),
+            retry_at: Some(now + timeout / 2),
             part_timeout,
-            deadline: now + wait,
+            deadline: now + timeout,
         };
         self.census.next_number = open.number.wrapping_add(open.parts.len() as u32);
-        self.ask_parts(&mut open, out);
+        self.request_parts(&mut open, out);
         if open.is_complete() {
             self.end_census(now, open, out);
         } else {
@@ -141,39 +142,39 @@
         }
     }
 
-    /// Gives the parts whose counters are silent to other members, once.
+    /// Requests the parts without a reply from other members, once.
     ///
-    /// A counter may have crashed a moment ago; its whole part would count as silent with it.
+    /// A counter may have just crashed; without the retry its whole part would count as silent.
     fn retry_parts(&mut self, now: time::NodeTime, out: &mut Vec<effect::FleetEffect>) {
-        let mut counts = std::mem::take(&mut self.census.open);
-        for open in &mut counts {
+        let mut open_counts = std::mem::take(&mut self.census.open);
+        for open in &mut open_counts {
             if open.retry_at.take_if(|due| *due <= now).is_some() {
-                self.ask_parts(open, out);
+                self.request_parts(open, out);
             }
         }
-        self.census.open = counts;
+        self.census.open = open_counts;
     }
 
-    /// Asks one member of each missing part to count it, another one than before.
-    fn ask_parts(&mut self, open: &mut census::OpenCensus, out: &mut Vec<effect::FleetEffect>) {
-        for (place, part) in open
+    /// Requests each part without a reply from one of its members, a different one than before.
+    fn request_parts(&mut self, open: &mut census::OpenCensus, out: &mut Vec<effect::FleetEffect>) {
+        for (index, part) in open
             .parts
             .iter_mut()
             .enumerate()
             .filter(|(_, p)| !p.answered)
         {
             let former = part.counter;
-            let fresh = part.members.iter().filter(|node| **node != former);
-            let fresh: Vec<_> = fresh.copied().collect();
+            let candidates = part.members.iter().filter(|node| **node != former);
+            let candidates: Vec<_> = candidates.copied().collect();
             let (Some(first), Some(last)) = (part.members.first(), part.members.last()) else {
                 continue;
             };
-            let Some(counter) = fresh.get(self.choice.below(fresh.len())).copied() else {
+            let Some(counter) = candidates.get(self.choice.below(candidates.len())).copied() else {
                 continue;
             };
             part.counter = counter;
             let message = gossip::CensusMessage::Ask {
-                census: open.number.wrapping_add(place as u32),
+                census: open.number.wrapping_add(index as u32),
                 revision: open.revision,
                 first: *first,
                 last: *last,
@@ -185,26 +186,26 @@
         }
     }
 
-    fn on_part(
+    fn on_part_reply(
         &mut self,
         now: time::NodeTime,
         number: u32,
         count: &gossip::CensusCount,
         out: &mut Vec<effect::FleetEffect>,
     ) {
-        let place = self.census.open.iter().position(|open| {
+        let index = self.census.open.iter().position(|open| {
             let part = number.wrapping_sub(open.number) as usize;
             open.parts.get(part).is_some_and(|part| !part.answered)
         });
-        let Some(place) = place else {
+        let Some(index) = index else {
             return;
         };
-        let open = &mut self.census.open[place];
+        let open = &mut self.census.open[index];
         let part = number.wrapping_sub(open.number) as usize;
         open.parts[part].answered = true;
         open.add(count);
         if open.is_complete() {
-            let open = self.census.open.remove(place);
+            let open = self.census.open.remove(index);
             self.end_census(now, open, out);
         }
     }
--- a/crates/anvil_membership/src/fleet/rules.rs
+++ b/crates/anvil_membership/src/fleet/rules.rs
@@ -1,4 +1,4 @@
-//! Rule changes: adopting them in order, learning of newer ones, handing them on.
+//! Rule changes: applying them in order, obtaining newer ones, sending them to peers.
 
 use std::net::SocketAddr;
 
@@ -8,15 +8,15 @@
 
 use crate::{effect, fleet, keys, member, rule_log, spread, store_requests};
 
-/// Bytes of changes that go on a datagram; more go over TCP.
-const DATAGRAM_BYTES: usize = 900;
+/// Maximum size of the changes on a datagram, in bytes; larger ones are sent over TCP.
+const MAX_DATAGRAM_CHANGE_BYTES: usize = 900;
 
 impl fleet::FleetState {
-    /// Whether work may be served: the revision held was compared with peers or with the store, and
-    /// the members known with a peer's.
+    /// Whether the node may serve requests: its revision was compared with peers or with the store,
+    /// and its members were compared with a peer's.
     ///
-    /// A newcomer that served at once would treat requests by rules that its peers have left
-    /// behind, seconds or days ago, and refuse services of whose targets it has not heard.
+    /// A starting node that served immediately would apply rules that were replaced seconds or days
+    /// ago, and refuse services whose targets it does not know yet.
     pub fn is_ready(&self) -> bool {
         self.rules.ready
     }
@@ -31,7 +31,8 @@
         self.rules.log.tail()
     }
 
-    /// Hands on the whole rules that [`effect::FleetEffect::EncodeSnapshot`] asked for.
+    /// Takes the encoded rules that [`effect::FleetEffect::EncodeSnapshot`] requested, and sends or
+    /// writes them.
     pub fn on_snapshot_encoded(
         &mut self,
         now: time::NodeTime,
@@ -53,13 +54,13 @@
         out
     }
 
-    /// Does what the rules have due.
+    /// Runs the tasks of the rules that are due.
     pub(super) fn rules_when_due(
         &mut self,
         now: time::NodeTime,
         out: &mut Vec<effect::FleetEffect>,
     ) {
-        self.pull_again(now, out);
+        self.retry_pull(now, out);
         if self.config.store {
             self.read_when_due(now, out);
             self.watch_when_due(now, out);
@@ -68,25 +69,26 @@
             self.propose_when_due(now, out);
             self.snapshot_when_due(now, out);
         }
-        self.become_ready(now, out);
+        self.update_readiness(now, out);
     }
 
-    /// When the rules have something due next.
-    pub(super) fn rules_next(&self) -> Option<time::NodeTime> {
+    /// When the next task of the rules is due.
+    pub(super) fn next_rules_wake(&self) -> Option<time::NodeTime> {
         let rules = &self.rules;
         let pull = rules.pull.map(|pull| pull.retry_at);
-        let waits = !rules.ready && !self.config.store && rules.log.held() >= rules.highest_seen;
-        let alone = waits.then_some(rules.standalone_at);
-        let watch = self.may_watch().then(|| self.watch_due());
-        let read = rules.read_at.filter(|_| !self.reads_rules());
+        let may_start_alone =
+            !rules.ready && !self.config.store && rules.log.held() >= rules.highest_seen;
+        let standalone = may_start_alone.then_some(rules.standalone_at);
+        let watch = self.may_watch().then(|| self.next_watch_at());
+        let read = rules.read_at.filter(|_| !self.is_reading_rules());
         let proposal = rules.proposal.as_ref().and_then(|p| p.next.map(|n| n.0));
         let snapshot = self.snapshot.next_wake();
-        let due = [pull, alone, watch, read, proposal, snapshot];
+        let due = [pull, standalone, watch, read, proposal, snapshot];
         due.into_iter().flatten().min()
     }
 
-    /// Notes the revision in a message's head, and pulls where it is newer.
-    pub(super) fn hear_revision(
+    /// Handles the revision in a message's head, and pulls if it is newer.
+    pub(super) fn on_revision(
         &mut self,
         now: time::NodeTime,
         from: SocketAddr,
@@ -95,8 +97,8 @@
     ) {
         let rules = &mut self.rules;
         rules.highest_seen = rules.highest_seen.max(head.revision);
-        let enough = rules.ready_peers.len() >= spread::PEERS_COMPARED;
-        if head.ready && !rules.ready && !enough && !rules.ready_peers.contains(&head.from) {
+        let list_full = rules.ready_peers.len() >= spread::PEERS_COMPARED;
+        if head.ready && !rules.ready && !list_full && !rules.ready_peers.contains(&head.from) {
             rules.ready_peers.push(head.from);
         }
         if head.revision > rules.log.held() {
@@ -107,11 +109,12 @@
         } else if head.ready && !rules.ready && rules.log.held() >= rules.highest_seen {
             self.read_log_soon(now);
         }
-        self.become_ready(now, out);
+        self.update_readiness(now, out);
     }
 
-    /// Takes changes from a peer or from the store, in any order; tells whether some are missing.
-    pub(super) fn take_changes(
+    /// Applies changes from a peer or from the store, in any order; returns whether some are
+    /// missing.
+    pub(super) fn apply_changes(
         &mut self,
         changes: &[gossip::LoggedChange],
         out: &mut Vec<effect::FleetEffect>,
@@ -133,8 +136,8 @@
         gap
     }
 
-    /// Takes the whole rules where they are newer.
-    pub(super) fn take_snapshot(
+    /// Applies a snapshot of the rules, if it is newer.
+    pub(super) fn apply_snapshot(
         &mut self,
         snapshot: &gossip::LoggedChange,
         out: &mut Vec<effect::FleetEffect>,
@@ -145,7 +148,7 @@
         }
     }
 
-    /// Answers a member that holds less.
+    /// Sends the changes after `after` to a member that pulls them.
     pub(super) fn answer_pull(
         &mut self,
         from: SocketAddr,
@@ -163,7 +166,7 @@
         };
         changes.truncate(gossip::CHANGES_LIMIT);
         let bytes: usize = changes.iter().map(|change| change.body.len() + 32).sum();
-        if bytes <= DATAGRAM_BYTES {
+        if bytes <= MAX_DATAGRAM_CHANGE_BYTES {
             self.send(
                 from,
                 gossip::GossipKind::Changes { changes },
@@ -175,9 +178,9 @@
         }
     }
 
-    /// Reads the log in the store at the next chance.
+    /// Schedules a read of the log in the store, unless reads are failing.
     pub(super) fn read_log_soon(&mut self, now: time::NodeTime) {
-        // Where one key holds the whole rules, what comes after the first read is watched for.
+        // After the first read of a rule document, newer versions arrive by watches and polls.
         if self.config.document.is_some() && self.rules.caught_up {
             return;
         }
@@ -186,7 +189,7 @@
         }
     }
 
-    /// Takes the outcome of a question about the log.
+    /// Handles the outcome of a request about the log or the rule document.
     pub(super) fn on_log_answer(
         &mut self,
         now: time::NodeTime,
@@ -200,7 +203,7 @@
             more,
         }) = outcome
         else {
-            self.log_failed(now, purpose, outcome, out);
+            self.on_log_failure(now, purpose, outcome, out);
             return;
         };
         self.rules.backoff.reset();
@@ -209,25 +212,25 @@
         let decoded = decoded.filter_map(|entry| gossip::LoggedChange::from_value(&entry.value));
         let changes: Vec<_> = decoded.collect();
         let gap = if self.config.document.is_some() {
-            // The key holds whole rules, so none is missing before the newest.
+            // A document contains the complete rules, so no earlier changes can be missing.
             for snapshot in &changes {
-                self.take_snapshot(snapshot, out);
+                self.apply_snapshot(snapshot, out);
             }
             false
         } else {
-            self.take_changes(&changes, out)
+            self.apply_changes(&changes, out)
         };
         self.rules.watch_at = now;
-        self.look_later(now);
+        self.schedule_poll(now);
         if purpose == store_requests::RequestPurpose::WatchLog {
             self.rules.seen = self.rules.seen.max(*seen);
             if gap {
                 self.read_log_soon(now);
             }
         } else if gap {
-            // The log has been trimmed behind a snapshot.
+            // The log has been trimmed up to a snapshot.
             let key = store::StoreKey::new(keys::MANIFEST);
-            self.ask(
+            self.request_store(
                 now,
                 store_requests::RequestPurpose::ReadManifest,
                 store::StoreAsk::Get { key },
@@ -239,40 +242,45 @@
             self.rules.seen = self.rules.seen.max(*seen);
             self.rules.caught_up = true;
         }
-        self.become_ready(now, out);
+        self.update_readiness(now, out);
     }
 
-    /// Whether a question about the log or a snapshot is out.
-    fn reads_rules(&self) -> bool {
+    /// Whether a read of the log or of a snapshot is pending.
+    fn is_reading_rules(&self) -> bool {
         let purposes = [
             store_requests::RequestPurpose::ReadLog,
             store_requests::RequestPurpose::ReadManifest,
             store_requests::RequestPurpose::ReadChunk,
         ];
-        purposes.iter().any(|purpose| self.asks.is_open(*purpose))
+        purposes
+            .iter()
+            .any(|purpose| self.requests.is_open(*purpose))
     }
 
-    /// Whether this node waits at the store for the next change of the rules.
+    /// Whether a watch for the next change of the rules is pending, other than a poll.
     pub fn watches_rules(&self) -> bool {
-        self.asks.is_open(store_requests::RequestPurpose::WatchLog) && self.rules.is_watcher
+        self.requests
+            .is_open(store_requests::RequestPurpose::WatchLog)
+            && self.rules.is_watcher
     }
 
-    /// When the store is next asked for a change.
-    fn watch_due(&self) -> time::NodeTime {
+    /// When the next watch or poll is due.
+    fn next_watch_at(&self) -> time::NodeTime {
         let rules = &self.rules;
         if rules.is_watcher {
             rules.watch_at
         } else {
             let others = u32::try_from(self.table.live()).unwrap_or(u32::MAX);
-            let look_at = rules.polled_at + rules.poll_interval.saturating_mul(others);
-            rules.watch_at.max(look_at).max(rules.watcher_choice_at)
+            let poll_at = rules.polled_at + rules.poll_interval.saturating_mul(others);
+            rules.watch_at.max(poll_at).max(rules.watcher_choice_at)
         }
     }
 
-    /// Decides whether this node is one of those of its zone that watch the key: every node computes the
-    /// same order, so nothing has to be agreed, and the next one takes over from one that is accused.
+    /// Decides whether this node is one of the watchers of the rule document in its zone.
     ///
-    /// A fresh node that knows nobody yet would take itself for one.
+    /// Every node computes the same order, so no agreement is needed, and the next node replaces a
+    /// suspect one. A starting node waits first, since without known members it would always choose
+    /// itself.
     fn choose_watchers(&mut self, now: time::NodeTime) {
         if !self.roster.is_compared() && now < self.rules.watcher_choice_at {
             return;
@@ -288,8 +296,8 @@
             && !self.is_leaving();
     }
 
-    /// Draws when a node that does not watch looks at the key next.
-    fn look_later(&mut self, now: time::NodeTime) {
+    /// Draws the interval to the next poll of a node that is not a watcher.
+    fn schedule_poll(&mut self, now: time::NodeTime) {
         self.rules.polled_at = now;
         self.rules.poll_interval =
             spread::DOCUMENT_POLL_INTERVAL / 2 + self.choice.span(spread::DOCUMENT_POLL_INTERVAL);
@@ -299,10 +307,12 @@
         self.config.store
             && self.rules.caught_up
             && (self.config.document.is_some() || self.contacts.watches_log())
-            && !self.asks.is_open(store_requests::RequestPurpose::WatchLog)
+            && !self
+                .requests
+                .is_open(store_requests::RequestPurpose::WatchLog)
     }
 
-    fn log_failed(
+    fn on_log_failure(
         &mut self,
         now: time::NodeTime,
         purpose: store_requests::RequestPurpose,
@@ -310,14 +320,14 @@
         out: &mut Vec<effect::FleetEffect>,
     ) {
         if *outcome == store::StoreOutcome::HistoryLost {
-            // What was written in the gap can only be read; watching on from the same point would
-            // be refused for ever.
+            // The changes of the gap can only be read; a watch from the same version would be
+            // rejected for ever.
             self.rules.watch_at = now;
             self.rules.caught_up = false;
             self.rules.read_at = Some(now);
-            // The store may have come back from an older copy, whose order of writes begins anew.
+            // The store may have been restored from an older copy, whose versions start again.
             self.rules.seen = store::StoreVersion(0);
-            self.check_all_contacts(now, out);
+            self.request_lease_checks(now, out);
             return;
         }
         let pause = self.rules.backoff.next_pause(self.choice.any());
@@ -327,17 +337,17 @@
         }
         self.rules.store_failed = true;
         self.rules.read_at = Some(now + pause);
-        self.become_ready(now, out);
+        self.update_readiness(now, out);
     }
 
     fn after_adoption(&mut self) {
         self.counters.rules_adopted += 1;
-        // With one rumour of each, a node in fifty hears with the probes, seconds later, and more
-        // where some of those told have just vanished.
+        // If each node sends one rumour, one node in fifty is missed and receives the change with a
+        // probe seconds later, and more if some of the receivers have just crashed.
         if self.config.document.is_some() {
-            self.pushing.request_change();
+            self.rumours.request_change();
         } else {
-            self.pushing.request();
+            self.rumours.request();
         }
         let held = self.revision();
         let rules = &mut self.rules;
@@ -369,8 +379,8 @@
         );
     }
 
-    /// Pulls again from a random member where the first one did not answer.
-    fn pull_again(&mut self, now: time::NodeTime, out: &mut Vec<effect::FleetEffect>) {
+    /// Pulls again, from a random member with a newer revision, if no answer arrived in time.
+    fn retry_pull(&mut self, now: time::NodeTime, out: &mut Vec<effect::FleetEffect>) {
         let Some(pull) = self.rules.pull.filter(|pull| pull.retry_at <= now) else {
             return;
         };
@@ -405,33 +415,33 @@
 
     fn read_when_due(&mut self, now: time::NodeTime, out: &mut Vec<effect::FleetEffect>) {
         let due = self.rules.read_at.is_some_and(|at| at <= now);
-        if !due || self.reads_rules() {
+        if !due || self.is_reading_rules() {
             return;
         }
         self.rules.read_at = None;
         let held = self.revision();
         if let Some(key) = self.config.document.clone() {
-            let ask = store::StoreAsk::List {
+            let request = store::StoreAsk::List {
                 prefix: key,
                 after: None,
                 limit: 1,
             };
-            self.ask(now, store_requests::RequestPurpose::ReadLog, ask, out);
+            self.request_store(now, store_requests::RequestPurpose::ReadLog, request, out);
             return;
         }
-        let ask = store::StoreAsk::List {
+        let request = store::StoreAsk::List {
             prefix: store::StoreKey::new(keys::LOG),
             after: (held.0 > 0).then(|| keys::log_entry(held)),
             limit: spread::READ_LIMIT,
         };
-        self.ask(now, store_requests::RequestPurpose::ReadLog, ask, out);
+        self.request_store(now, store_requests::RequestPurpose::ReadLog, request, out);
     }
 
     fn watch_when_due(&mut self, now: time::NodeTime, out: &mut Vec<effect::FleetEffect>) {
         if self.config.document.is_some() {
             self.choose_watchers(now);
         }
-        if !self.may_watch() || self.watch_due() > now {
+        if !self.may_watch() || self.next_watch_at() > now {
             return;
         }
         let (prefix, wait) = match &self.config.document {
@@ -439,16 +449,20 @@
             Some(key) => (key.clone(), spread::DOCUMENT_POLL_WAIT),
             None => (store::StoreKey::new(keys::LOG), spread::WATCH_WAIT),
         };
-        let ask = store::StoreAsk::Watch {
+        let request = store::StoreAsk::Watch {
             prefix,
             seen: self.rules.seen,
             wait,
         };
-        self.ask(now, store_requests::RequestPurpose::WatchLog, ask, out);
+        self.request_store(now, store_requests::RequestPurpose::WatchLog, request, out);
     }
 
-    pub(super) fn become_ready(&mut self, now: time::NodeTime, out: &mut Vec<effect::FleetEffect>) {
-        let compared = self.roster.is_compared() && self.has_compared(now);
+    pub(super) fn update_readiness(
+        &mut self,
+        now: time::NodeTime,
+        out: &mut Vec<effect::FleetEffect>,
+    ) {
+        let compared = self.roster.is_compared() && self.rules_compared(now);
         if self.rules.ready || !compared {
             return;
         }
@@ -460,10 +474,11 @@
         ));
     }
 
-    fn has_compared(&self, now: time::NodeTime) -> bool {
+    fn rules_compared(&self, now: time::NodeTime) -> bool {
         let rules = &self.rules;
-        let unwritten = rules.log.held() == ident::RuleRevision::default();
-        if rules.log.held() < rules.highest_seen || (self.config.document.is_some() && unwritten) {
+        let has_no_rules = rules.log.held() == ident::RuleRevision::default();
+        if rules.log.held() < rules.highest_seen || (self.config.document.is_some() && has_no_rules)
+        {
             return false;
         }
         if rules.caught_up {
@@ -471,10 +486,10 @@
         }
         let others = self.table.live().saturating_sub(1);
         let wanted = others.clamp(1, spread::PEERS_COMPARED);
-        let heard_enough = rules.ready_peers.len() >= wanted;
+        let enough_ready_peers = rules.ready_peers.len() >= wanted;
         if self.config.store && self.config.document.is_none() {
-            return rules.store_failed && heard_enough;
+            return rules.store_failed && enough_ready_peers;
         }
-        heard_enough || (!self.config.store && now >= rules.standalone_at)
+        enough_ready_peers || (!self.config.store && now >= rules.standalone_at)
     }
 }
--- a/crates/anvil_membership/src/fleet/store_access.rs
+++ b/crates/anvil_membership/src/fleet/store_access.rs
@@ -1,11 +1,11 @@
-//! Questions to the store: sending them and handing their outcomes on.
+//! Requests to the store: sending them and dispatching their outcomes.
 
 use anvil_types::{store, time};
 
 use crate::{effect, fleet, member, store_requests};
 
 impl fleet::FleetState {
-    /// Takes the outcome of a question to the store.
+    /// Handles the outcome of a request to the store.
     pub fn on_store(
         &mut self,
         now: time::NodeTime,
@@ -17,43 +17,47 @@
             return out;
         }
         self.note_pause(now, &mut out);
-        if let Some(purpose) = self.asks.close(id) {
-            self.answered(now, purpose, outcome, &mut out);
+        if let Some(purpose) = self.requests.close(id) {
+            self.on_request_outcome(now, purpose, outcome, &mut out);
         }
-        self.push_now(now, &mut out);
+        self.send_rumour_if_due(now, &mut out);
         out
     }
 
-    /// Asks the store, unless the same is being asked already.
-    pub(super) fn ask(
+    /// Sends a request to the store, unless one for the same purpose is pending.
+    pub(super) fn request_store(
         &mut self,
         now: time::NodeTime,
         purpose: store_requests::RequestPurpose,
         request: store::StoreAsk,
         out: &mut Vec<effect::FleetEffect>,
     ) {
-        if self.asks.is_open(purpose) {
+        if self.requests.is_open(purpose) {
             return;
         }
         self.counters.count_request(purpose);
-        let id = self.asks.open(purpose, now);
+        let id = self.requests.open(purpose, now);
         out.push(effect::FleetEffect::SendStoreRequest { id, request });
     }
 
-    /// Gives up the questions whose answers never came.
-    pub(super) fn lose_asks(&mut self, now: time::NodeTime, out: &mut Vec<effect::FleetEffect>) {
-        for purpose in self.asks.take_timed_out(now) {
-            self.answered(now, purpose, store::StoreOutcome::Unknown, out);
+    /// Handles requests that timed out as requests with an unknown outcome.
+    pub(super) fn expire_requests(
+        &mut self,
+        now: time::NodeTime,
+        out: &mut Vec<effect::FleetEffect>,
+    ) {
+        for purpose in self.requests.take_timed_out(now) {
+            self.on_request_outcome(now, purpose, store::StoreOutcome::Unknown, out);
         }
     }
 
-    /// Whether this node has told that it leaves.
+    /// Whether this node has announced that it is leaving.
     pub(super) fn is_leaving(&self) -> bool {
         let record = self.table.get(self.local);
         record.is_none_or(|r| r.facts.leaving || r.state != member::MemberState::Alive)
     }
 
-    fn answered(
+    fn on_request_outcome(
         &mut self,
         now: time::NodeTime,
         purpose: store_requests::RequestPurpose,
--- a/crates/anvil_membership/src/fleet/syncing.rs
+++ b/crates/anvil_membership/src/fleet/syncing.rs
@@ -1,4 +1,4 @@
-//! Joining, and the exchange of digests that mends what datagrams lost.
+//! Joining, and digest exchanges that repair the loss of datagrams.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,25 +8,25 @@
 
 use crate::{digest, effect, fleet, member, roster};
 
-/// Time between two attempts to join.
+/// Interval of attempts to join.
 const JOIN_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Ends between two exchanges that count as a storm.
-const STORM_ENDS: u32 = 16;
+/// Number of departures between two digest exchanges that counts as a mass departure.
+const MASS_DEPARTURE_COUNT: u32 = 16;
 
-/// Quiet time behind the last end of a storm before digests are compared.
-const STORM_QUIET: Duration = Duration::from_secs(4);
+/// Time without departures after a mass departure before digests are compared.
+const MASS_DEPARTURE_QUIET_PERIOD: Duration = Duration::from_secs(4);
 
-/// Claims of one bulk message that are still repeated by datagrams.
+/// Maximum number of claims in a bulk message for them to be relayed by datagrams.
 ///
-/// A few may be news to everybody; many are old news that only the receiver missed, and repeating
-/// them would flood a healthy fleet each time somebody joins.
-const REPEAT_LIMIT: usize = 32;
+/// A few claims may be new to the whole fleet. Many are old ones that only the receiver missed, and
+/// relaying them would flood a healthy fleet with datagrams at each join.
+const RELAY_LIMIT: usize = 32;
 
-/// Below this size a node takes the whole fleet instead of comparing digests.
-const NEWCOMER_MEMBERS: usize = 10;
+/// Number of known members up to which a node requests all members instead of comparing digests.
+const FULL_SYNC_MEMBERS: usize = 10;
 
-/// The members that a peer knows alive, in the buckets in which the two differ.
+/// The live members of a peer's table in the buckets that differ.
 struct PeerHeaders<'a> {
     head: gossip::GossipHead,
     buckets: u32,
@@ -34,7 +34,7 @@
     headers: &'a [gossip::MemberHeader],
 }
 
-/// Claims of a peer, and the identities whose claims it lacks.
+/// Claims of a peer, and the members whose claims it requests.
 struct PeerClaims<'a> {
     head: gossip::GossipHead,
     updates: &'a [gossip::MemberUpdate],
@@ -42,7 +42,7 @@
 }
 
 impl fleet::FleetState {
-    /// Takes a bulk message of a peer.
+    /// Handles a bulk message of a peer.
     pub fn on_sync(
         &mut self,
         now: time::NodeTime,
@@ -55,10 +55,10 @@
         }
         self.note_pause(now, &mut out);
         self.counters.syncs_received += 1;
-        self.on_head(now, message.head(), &mut out);
+        self.note_sender(now, message.head(), &mut out);
         let sender = self.table.get(peer).map(|m| m.facts.udp);
         if let Some(from) = sender {
-            self.hear_revision(now, from, message.head(), &mut out);
+            self.on_revision(now, from, message.head(), &mut out);
         }
         match message {
             gossip::SyncMessage::Digest { head, sums, sender } => {
@@ -73,13 +73,13 @@
                 differing,
                 headers,
             } => {
-                let told = PeerHeaders {
+                let received = PeerHeaders {
                     head: *head,
                     buckets: *buckets,
                     differing,
                     headers,
                 };
-                self.on_headers(now, &told, &mut out);
+                self.on_headers(now, &received, &mut out);
             }
             gossip::SyncMessage::Members {
                 head,
@@ -87,37 +87,37 @@
                 wanted,
                 last,
             } => {
-                let told = PeerClaims {
+                let received = PeerClaims {
                     head: *head,
                     updates,
                     wanted,
                 };
-                self.on_members(now, &told, &mut out);
+                self.on_members(now, &received, &mut out);
                 if *last {
-                    self.members_compared(now, *head, &mut out);
+                    self.on_members_compared(now, *head, &mut out);
                 }
             }
             gossip::SyncMessage::Changes {
                 snapshot, changes, ..
             } => {
                 if let Some(snapshot) = snapshot {
-                    self.take_snapshot(snapshot, &mut out);
+                    self.apply_snapshot(snapshot, &mut out);
                 }
-                self.take_changes(changes, &mut out);
+                self.apply_changes(changes, &mut out);
             }
         }
-        self.push_now(now, &mut out);
+        self.send_rumour_if_due(now, &mut out);
         out
     }
 
-    /// Joins through the node at `address`, beside the seeds and the store's contacts.
+    /// Joins through the node at `address`, in addition to the seeds and the store's contacts.
     pub fn join(&mut self, address: SocketAddr) -> Vec<effect::FleetEffect> {
         let mut out = Vec::new();
         self.join_through(address, &mut out);
         out
     }
 
-    /// Asks a seed to be let in, until any member has answered.
+    /// Sends a join request to a random seed, until a member has answered.
     pub(super) fn join_when_due(
         &mut self,
         now: time::NodeTime,
@@ -134,29 +134,29 @@
         }
     }
 
-    /// Asks the node at `address`, whichever it is, to be let in.
+    /// Sends a join request to the node at `address`, whatever its id.
     pub(super) fn join_through(&mut self, address: SocketAddr, out: &mut Vec<effect::FleetEffect>) {
         let updates = self.claim(self.local).into_iter().collect();
         self.send(address, gossip::GossipKind::Join, updates, out);
     }
 
-    /// Compares digests with a random member.
+    /// Compares digests with a peer.
     pub(super) fn sync_when_due(
         &mut self,
         now: time::NodeTime,
         out: &mut Vec<effect::FleetEffect>,
     ) {
-        let storm = self.timers.storm_sync.take_if(|due| *due <= now);
-        if now < self.timers.sync && storm.is_none() {
+        let after_departures = self.timers.mass_departure_sync.take_if(|due| *due <= now);
+        if now < self.timers.sync && after_departures.is_none() {
             return;
         }
-        self.recent_ends = 0;
-        self.timers.storm_sync = None;
-        let newcomer = self.table.live() <= NEWCOMER_MEMBERS;
-        // A node that starts among many that start has only the part that its first peer knew.
-        let hasty = newcomer || self.early_syncs > 0;
+        self.recent_departures = 0;
+        self.timers.mass_departure_sync = None;
+        let full_sync = self.table.live() <= FULL_SYNC_MEMBERS;
+        // A node that starts together with many others knows only the members of its first peer.
+        let frequent = full_sync || self.early_syncs > 0;
         let compared = self.roster.is_compared();
-        let interval = match (compared, hasty) {
+        let interval = match (compared, frequent) {
             (false, _) => roster::COMPARE_RETRY_INTERVAL,
             (true, true) => self.config.sync_interval / 10,
             (true, false) => self.config.sync_interval,
@@ -165,7 +165,7 @@
         let partner = if compared {
             self.sync_partner()
         } else {
-            self.compared_partner()
+            self.comparison_partner()
         };
         let Some(peer) = partner else {
             return;
@@ -173,7 +173,7 @@
         if compared {
             self.early_syncs = self.early_syncs.saturating_sub(1);
         }
-        let sums = if newcomer {
+        let sums = if full_sync {
             Vec::new()
         } else {
             digest::sums(&self.table, digest::bucket_count(self.table.live()))
@@ -184,14 +184,15 @@
         self.send_sync(peer, digest, out);
     }
 
-    /// With whom digests are compared next: a random member at first, then one of a few.
+    /// The peer to compare digests with: a random member at first, then one of a few.
     ///
-    /// A bulk message opens a connection that stays. Random partners would make a node of a large
-    /// fleet collect thousands of connections within a day. The members that follow at halved
-    /// distances around the sorted identities are `log2(n)` and seldom change, and news still
-    /// crosses the fleet in as many steps.
+    /// A bulk message opens a connection that stays open. With random peers, a node of a large
+    /// fleet would collect thousands of connections within a day. Instead, the ids form a ring, and
+    /// the peers are the successors at distances of a half, a quarter, an eighth and so on of the
+    /// ring. They are `log2(n)` members that seldom change, and updates still reach the whole fleet
+    /// in `log2(n)` steps.
     fn sync_partner(&mut self) -> Option<ident::NodeId> {
-        if self.early_syncs > 0 || self.table.live() <= NEWCOMER_MEMBERS {
+        if self.early_syncs > 0 || self.table.live() <= FULL_SYNC_MEMBERS {
             let drawn = self.table.draw_live(&mut self.choice, &[self.local])?;
             return Some(drawn.node);
         }
@@ -202,26 +203,27 @@
         Some(self.table.successor(from, self.local)?.node)
     }
 
-    /// Notes an end; after many, digests are compared as soon as it has been quiet for a while.
+    /// Counts a departure; after a mass departure, schedules an extra digest exchange.
     ///
-    /// In a zone's loss each claim has less room on the datagrams, so here and there a node misses
-    /// one and would send work to a target that is gone until the next regular exchange.
-    pub(super) fn note_end(&mut self, now: time::NodeTime) {
-        self.recent_ends += 1;
-        if self.recent_ends >= STORM_ENDS {
-            let pause = STORM_QUIET + self.choice.span(STORM_QUIET / 2);
-            self.timers.storm_sync = Some(now + pause);
+    /// When a zone is lost, each claim gets less room on the datagrams, so some nodes miss one.
+    /// Until the next regular exchange, they would send requests to a dead target.
+    pub(super) fn note_departure(&mut self, now: time::NodeTime) {
+        self.recent_departures += 1;
+        if self.recent_departures >= MASS_DEPARTURE_COUNT {
+            let pause =
+                MASS_DEPARTURE_QUIET_PERIOD + self.choice.span(MASS_DEPARTURE_QUIET_PERIOD / 2);
+            self.timers.mass_departure_sync = Some(now + pause);
         }
     }
 
-    /// Forgets the members that were gone long ago.
+    /// Removes the members that departed long ago.
     pub(super) fn trim_when_due(&mut self, now: time::NodeTime) {
         if now < self.timers.trim {
             return;
         }
         self.timers.trim = now + self.config.reconnect_interval;
         if self.joined && self.table.live() == 1 {
-            // Everybody is gone, so nobody will speak to this node first: join anew.
+            // All other members departed, so none will contact this node: join again.
             self.joined = false;
             self.contacts.list_at = now;
         }
@@ -239,7 +241,7 @@
     ) {
         let peer = head.from;
         if sums.is_empty() {
-            self.send_everything(peer, out);
+            self.send_all_live(peer, out);
             return;
         }
         if !digest::is_bucket_count(sums.len()) {
@@ -248,8 +250,8 @@
         let own = digest::sums(&self.table, sums.len());
         let pairs = own.iter().zip(sums).enumerate();
         let differing = pairs.filter(|(_, (own, theirs))| own != theirs);
-        let differing: Vec<u32> = differing.map(|(place, _)| place as u32).collect();
-        // A newcomer waits to hear that it knows all.
+        let differing: Vec<u32> = differing.map(|(index, _)| index as u32).collect();
+        // A peer that is not ready waits for the reply that nothing differs.
         if differing.is_empty() && head.ready {
             return;
         }
@@ -263,7 +265,7 @@
         self.send_sync(peer, message, out);
     }
 
-    fn send_everything(&mut self, peer: ident::NodeId, out: &mut Vec<effect::FleetEffect>) {
+    fn send_all_live(&mut self, peer: ident::NodeId, out: &mut Vec<effect::FleetEffect>) {
         let live = self.table.all().iter().filter(|m| m.state.is_live());
         let live: Vec<_> = live.map(|m| m.node).collect();
         self.send_claims(peer, &live, Vec::new(), true, out);
@@ -272,21 +274,21 @@
     fn on_headers(
         &mut self,
         now: time::NodeTime,
-        told: &PeerHeaders<'_>,
+        received: &PeerHeaders<'_>,
         out: &mut Vec<effect::FleetEffect>,
     ) {
-        let buckets = told.buckets as usize;
+        let buckets = received.buckets as usize;
         if !digest::is_bucket_count(buckets) {
             return;
         }
-        let mut theirs = told.headers.to_vec();
+        let mut theirs = received.headers.to_vec();
         theirs.sort_unstable_by_key(|header| header.node);
-        let own = digest::headers(&self.table, buckets, told.differing);
-        let mut telling: Vec<_> = own
+        let own = digest::headers(&self.table, buckets, received.differing);
+        let mut to_send: Vec<_> = own
             .iter()
             .filter(|own| {
-                let place = theirs.binary_search_by_key(&own.node, |header| header.node);
-                place.is_err()
+                let index = theirs.binary_search_by_key(&own.node, |header| header.node);
+                index.is_err()
             })
             .map(|own| own.node)
             .collect();
@@ -296,55 +298,58 @@
             match self.table.get(header.node) {
                 None => wanted.push(header.node),
                 Some(record) if record.rank() < theirs => wanted.push(header.node),
-                Some(record) if record.rank() > theirs => telling.push(header.node),
+                Some(record) if record.rank() > theirs => to_send.push(header.node),
                 Some(_) => {}
             }
         }
         if wanted.is_empty() {
-            self.members_compared(now, told.head, out);
+            self.on_members_compared(now, received.head, out);
         }
-        if telling.is_empty() && wanted.is_empty() {
+        if to_send.is_empty() && wanted.is_empty() {
             return;
         }
-        self.send_claims(told.head.from, &telling, wanted, true, out);
+        self.send_claims(received.head.from, &to_send, wanted, true, out);
     }
 
     fn on_members(
         &mut self,
         now: time::NodeTime,
-        told: &PeerClaims<'_>,
+        received: &PeerClaims<'_>,
         out: &mut Vec<effect::FleetEffect>,
     ) {
-        self.repeating = told.updates.len() <= REPEAT_LIMIT;
-        for update in told.updates {
+        self.relaying = received.updates.len() <= RELAY_LIMIT;
+        for update in received.updates {
             self.apply(now, update, out);
         }
-        self.repeating = true;
-        let mut telling = self.ended_since(told.updates);
-        telling.extend(told.wanted);
-        if !telling.is_empty() {
-            let last = !told.wanted.is_empty();
-            self.send_claims(told.head.from, &telling, Vec::new(), last, out);
+        self.relaying = true;
+        let mut to_send = self.departed_since(received.updates);
+        to_send.extend(received.wanted);
+        if !to_send.is_empty() {
+            let last = !received.wanted.is_empty();
+            self.send_claims(received.head.from, &to_send, Vec::new(), last, out);
         }
     }
 
-    /// The members that a peer claims alive and this node knows to have ended since.
+    /// The members that a peer claims to be alive and that this node knows to have departed.
     ///
-    /// Ended members stand in no digest and no header, so the peer learns of the end only if its
-    /// claim is answered; it would otherwise send work there until its own probe fails.
-    fn ended_since(&self, updates: &[gossip::MemberUpdate]) -> Vec<ident::NodeId> {
-        let ended = updates.iter().filter(|update| {
+    /// Digests and headers do not include departed members, so the peer learns of the departure
+    /// only by an answer to its claim. Otherwise it would send requests to the member until its own
+    /// probe fails.
+    fn departed_since(&self, updates: &[gossip::MemberUpdate]) -> Vec<ident::NodeId> {
+        let departed = updates.iter().filter(|update| {
             let claimed = (update.incarnation, member::claimed_state(&update.standing));
             let known = self.table.get(update.node);
             known.is_some_and(|record| !record.state.is_live() && record.rank() > claimed)
         });
         let claimed_alive =
-            ended.filter(|update| member::claimed_state(&update.standing).is_live());
+            departed.filter(|update| member::claimed_state(&update.standing).is_live());
         claimed_alive.map(|update| update.node).collect()
     }
 
-    /// Sends the claims about `nodes`, in as many messages as they need, and asks for `wanted`; `last` says
-    /// that the receiver then knows all members that this node knows alive.
+    /// Sends the claims about `nodes` in as many messages as needed, and requests the claims about
+    /// `wanted`.
+    ///
+    /// `last` states that the receiver then knows all members that this node knows to be alive.
     fn send_claims(
         &mut self,
         peer: ident::NodeId,
@@ -362,7 +367,7 @@
                 head: self.head(),
                 updates: part
                     .iter()
-                    .filter_map(|node| self.whole_claim(*node))
+                    .filter_map(|node| self.full_claim(*node))
                     .collect(),
                 wanted: wanted.take().unwrap_or_default(),
                 last: last && parts.peek().is_none(),
