--- a/crates/anvil_core/src/admitting.rs
+++ b/crates/anvil_core/src/admitting.rs
@@ -39,7 +39,7 @@
                 refusal::RefusalLimit::Deadline,
             );
         }
-        if let Some(limit) = self.quarantine_of(call.context.print) {
+        if let Some(limit) = self.quarantine_of(call.context.fingerprint) {
             return cause(verdict::RefusalReason::Quarantined, limit);
         }
         // Failure: a request starts here whose next service will refuse it. Symptom: the run is
@@ -54,7 +54,10 @@
         None
     }
 
-    pub(crate) fn quarantine_of(&self, print: ident::PrintHash) -> Option<refusal::RefusalLimit> {
+    pub(crate) fn quarantine_of(
+        &self,
+        print: ident::RequestFingerprint,
+    ) -> Option<refusal::RefusalLimit> {
         match self.overload.poison.standing(self.now, print) {
             quarantine::PrintStanding::Quarantined { seen, allowed, .. } => {
                 Some(refusal::RefusalLimit::Crashes { seen, allowed })
@@ -69,7 +72,7 @@
         let Some(run) = self.runs.get(id) else {
             return;
         };
-        let standing = self.overload.poison.standing(now, run.context.print);
+        let standing = self.overload.poison.standing(now, run.context.fingerprint);
         let waiting = admission::WaitingCall {
             id: id.0,
             rank: rank::CallRank::of(&run.context),
@@ -243,7 +246,10 @@
             idempotent: run.context.idempotent,
             timeout: told,
         };
-        let (print, rule) = (run.context.print, overload::crash_rule(&run.treatment));
+        let (print, rule) = (
+            run.context.fingerprint,
+            overload::crash_rule(&run.treatment),
+        );
         let keyed = run.guarded_note(id);
         self.overload.poison.started(id.0, print, rule);
         self.counters.runs_started += 1;
@@ -289,8 +295,10 @@
             limit::RunEnd::Refused
         }
         verdict::CallVerdict::MayHaveRun(_) if run.expired => limit::RunEnd::TimedOut,
-        verdict::CallVerdict::MayHaveRun(verdict::DoubtReason::Deadline) => limit::RunEnd::TimedOut,
-        verdict::CallVerdict::MayHaveRun(verdict::DoubtReason::Cancelled) => {
+        verdict::CallVerdict::MayHaveRun(verdict::UncertaintyReason::Deadline) => {
+            limit::RunEnd::TimedOut
+        }
+        verdict::CallVerdict::MayHaveRun(verdict::UncertaintyReason::Cancelled) => {
             limit::RunEnd::Cancelled
         }
         verdict::CallVerdict::NotRun(_) | verdict::CallVerdict::MayHaveRun(_) => {
--- a/crates/anvil_core/src/applying.rs
+++ b/crates/anvil_core/src/applying.rs
@@ -14,7 +14,7 @@
 const PART: &str = "rules";
 
 /// Largest encoded change, in bytes; the store's limit less what stands around it in the log.
-const CHANGE_LIMIT: usize = store::VALUE_LIMIT - 1_024;
+const CHANGE_LIMIT: usize = store::MAX_VALUE_BYTES - 1_024;
 
 /// What an operator asked for.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/anvil_core/src/calls.rs
+++ b/crates/anvil_core/src/calls.rs
@@ -50,7 +50,7 @@
     /// What the rules decided.
     pub treatment: treatment::RuleTreatment,
     /// Which rule decided.
-    pub mark: treatment::RuleMark,
+    pub mark: treatment::RuleReference,
     /// When the call arrived.
     pub arrived: time::NodeTime,
     /// When the caller stops waiting.
@@ -66,7 +66,7 @@
     /// Nodes that refused or failed an attempt.
     pub tried: Vec<ident::NodeId>,
     /// Why an attempt may have run, where one ended so.
-    pub doubt: Option<verdict::DoubtReason>,
+    pub doubt: Option<verdict::UncertaintyReason>,
     /// Where the call stands.
     pub stage: CallStage,
     /// The run of the local target that made the call, where one did.
--- a/crates/anvil_core/src/contexts.rs
+++ b/crates/anvil_core/src/contexts.rs
@@ -19,12 +19,12 @@
         let id = hints.request.unwrap_or(ident::RequestId(minted));
         let lane = xxh3::xxh3_64(&id.0.to_le_bytes()).to_le_bytes()[0];
         let lane = context::LaneHash(lane);
-        let lane = by_rule.map_or(lane, |class| lane.banded(class));
+        let lane = by_rule.map_or(lane, |class| lane.with_class_band(class));
         let wait = hints.timeout.unwrap_or(treatment.deadline);
         context::CallContext {
             request: id,
             class: treatment.class,
-            by_rule,
+            rule_class: by_rule,
             lane,
             remaining_micros: entry::micros(wait.min(treatment.deadline)),
             retries_left: treatment.chain_retries,
@@ -32,7 +32,7 @@
             idempotent: treatment.idempotent,
             repeat: false,
             key: key_of(request, hints),
-            print: print_of(request),
+            fingerprint: print_of(request),
         }
     }
 
@@ -64,7 +64,7 @@
         Some(context::CallContext {
             request: parent.context.request,
             class: parent.context.class,
-            by_rule: parent.context.by_rule,
+            rule_class: parent.context.rule_class,
             lane: parent.context.lane,
             remaining_micros: entry::micros(wait),
             retries_left: granted,
@@ -72,7 +72,7 @@
             idempotent: treatment.idempotent,
             repeat: parent.context.repeat,
             key: key_of(request, hints),
-            print: print_of(request),
+            fingerprint: print_of(request),
         })
     }
 }
@@ -82,12 +82,12 @@
     Some(ident::RequestKey::of(request.service.as_str(), key))
 }
 
-pub(crate) fn print_of(request: &call::CallRequest) -> ident::PrintHash {
+pub(crate) fn print_of(request: &call::CallRequest) -> ident::RequestFingerprint {
     let mut hasher = xxh3::Xxh3::new();
     for part in [request.service.as_str(), &request.method, &request.path] {
         hasher.update(part.as_bytes());
         hasher.update(&[0]);
     }
     hasher.update(&request.body);
-    ident::PrintHash(hasher.digest())
+    ident::RequestFingerprint(hasher.digest())
 }
--- a/crates/anvil_core/src/effect.rs
+++ b/crates/anvil_core/src/effect.rs
@@ -22,7 +22,7 @@
     /// Attempts dispatched by this node for the call.
     pub attempts: u16,
     /// The rule that decided.
-    pub mark: treatment::RuleMark,
+    pub mark: treatment::RuleReference,
     /// When to come back, where the request was refused for want of capacity.
     pub retry_after: Option<Duration>,
     /// The caller's own id of the request.
@@ -41,7 +41,7 @@
             answer: None,
             request: ident::RequestId(0),
             attempts: 0,
-            mark: treatment::RuleMark::default(),
+            mark: treatment::RuleReference::default(),
             retry_after,
             label,
         }
@@ -182,7 +182,7 @@
         /// Identity of the question.
         id: store::StoreId,
         /// The question.
-        ask: store::StoreAsk,
+        ask: store::StoreRequest,
     },
     /// Callers should send this node work from now on, or should stop to.
     Readiness(bool),
--- a/crates/anvil_core/src/entry.rs
+++ b/crates/anvil_core/src/entry.rs
@@ -6,7 +6,7 @@
 use anvil_overload::{kind, refusal, routing};
 use anvil_rules::destination;
 use anvil_types::{ident, name, treatment, verdict};
-use anvil_wire::{call, fate, frame};
+use anvil_wire::{call, frame, outcome};
 
 use crate::{accounts, calls, effect, event, notes, reducer, rulebook, settling, timers};
 
@@ -235,7 +235,7 @@
             reply_to,
             context,
             treatment: open.treatment.clone(),
-            mark: open.mark,
+            rule: open.mark,
             account: open.account.name.clone(),
             label: open.label.clone(),
             request: open.request.clone(),
@@ -279,7 +279,7 @@
         };
         let verdict = match open.stage {
             calls::CallStage::Out { .. } => {
-                verdict::CallVerdict::MayHaveRun(verdict::DoubtReason::Deadline)
+                verdict::CallVerdict::MayHaveRun(verdict::UncertaintyReason::Deadline)
             }
             calls::CallStage::Pausing | calls::CallStage::Asking | calls::CallStage::Metering => {
                 not_run(verdict::RefusalReason::Deadline)
@@ -309,7 +309,7 @@
     /// Ends a call that nobody waits for, and the work below it.
     pub(crate) fn abandon_call(&mut self, sequence: u64) {
         self.cancel_attempt(sequence);
-        let verdict = verdict::CallVerdict::MayHaveRun(verdict::DoubtReason::Cancelled);
+        let verdict = verdict::CallVerdict::MayHaveRun(verdict::UncertaintyReason::Cancelled);
         self.end_call(sequence, verdict, None);
     }
 
@@ -340,7 +340,7 @@
 
     /// Whether a call of this node is still out at `peer` with this attempt: node, call, attempt and
     /// sender must all agree.
-    pub(crate) fn waits_for(&self, peer: ident::NodeId, id: fate::AttemptId) -> bool {
+    pub(crate) fn waits_for(&self, peer: ident::NodeId, id: outcome::AttemptId) -> bool {
         let open = self.calls.get(id.call.sequence);
         id.call.node == self.config.node
             && open.is_some_and(|open| open.attempts == id.attempt && open.is_out_at(peer))
@@ -359,7 +359,7 @@
         self.suspect_lost(peer, lost);
         for sequence in lost {
             self.lose_attempt(*sequence, peer);
-            let verdict = verdict::CallVerdict::MayHaveRun(verdict::DoubtReason::NodeLost);
+            let verdict = verdict::CallVerdict::MayHaveRun(verdict::UncertaintyReason::NodeLost);
             self.attempt_ended(*sequence, verdict, None);
         }
     }
@@ -368,7 +368,7 @@
         for frame in unsent {
             let call = match frame {
                 frame::PeerFrame::Call(call) => call,
-                frame::PeerFrame::Fate(message) => {
+                frame::PeerFrame::Outcome(message) => {
                     self.fate_unsent(peer, *message);
                     continue;
                 }
--- a/crates/anvil_core/src/fates.rs
+++ b/crates/anvil_core/src/fates.rs
@@ -12,7 +12,7 @@
 
 use anvil_overload::kind;
 use anvil_types::{ident, time, verdict};
-use anvil_wire::{call, fate, frame};
+use anvil_wire::{call, frame, outcome};
 
 use crate::{calls, effect, entry, event, reducer, repeats, timers};
 
@@ -82,37 +82,37 @@
     }
 
     /// Tells `peer` what this node holds for it, so that it cancels what it does not wait for.
-    fn offer_runs(&mut self, peer: ident::NodeId, held: &[(fate::AttemptId, SocketAddr)]) {
+    fn offer_runs(&mut self, peer: ident::NodeId, held: &[(outcome::AttemptId, SocketAddr)]) {
         if let Some((_, reply_to)) = held.first().copied() {
-            let held: Vec<fate::AttemptId> = held.iter().map(|(id, _)| *id).collect();
+            let held: Vec<outcome::AttemptId> = held.iter().map(|(id, _)| *id).collect();
             self.tell_held(peer, reply_to, &held);
         }
     }
 
-    pub(crate) fn fate_arrived(&mut self, peer: ident::NodeId, message: fate::FateMessage) {
+    pub(crate) fn fate_arrived(&mut self, peer: ident::NodeId, message: outcome::OutcomeMessage) {
         match message {
-            fate::FateMessage::Ask { reply_to, attempts } => {
+            outcome::OutcomeMessage::Query { reply_to, attempts } => {
                 self.fates_asked(peer, reply_to, &attempts);
             }
-            fate::FateMessage::Held { reply_to, attempts } => {
+            outcome::OutcomeMessage::Pending { reply_to, attempts } => {
                 self.runs_held(peer, reply_to, &attempts);
             }
-            fate::FateMessage::Leaving { reply_to } => self.peer_leaving(peer, reply_to),
+            outcome::OutcomeMessage::Leaving { reply_to } => self.peer_leaving(peer, reply_to),
         }
     }
 
     /// No connection to `peer` came about for a message of this module.
-    pub(crate) fn fate_unsent(&mut self, peer: ident::NodeId, message: fate::FateMessage) {
+    pub(crate) fn fate_unsent(&mut self, peer: ident::NodeId, message: outcome::OutcomeMessage) {
         match message {
-            fate::FateMessage::Ask { attempts, .. } => {
+            outcome::OutcomeMessage::Query { attempts, .. } => {
                 let asked = attempts.iter().map(|asked| asked.id);
                 let still = asked.filter(|id| self.waits_for(peer, *id));
                 let out: Vec<u64> = still.map(|id| id.call.sequence).collect();
                 self.ask_fates(peer, &out);
             }
-            fate::FateMessage::Held { attempts, .. } => self.held_unsent(&attempts),
+            outcome::OutcomeMessage::Pending { attempts, .. } => self.held_unsent(&attempts),
             // Whoever is gone waits for nothing.
-            fate::FateMessage::Leaving { .. } => self.farewell.heard(peer),
+            outcome::OutcomeMessage::Leaving { .. } => self.farewell.heard(peer),
         }
     }
 
@@ -123,21 +123,21 @@
             self.ask_fates(peer, &out);
             return;
         }
-        let message = fate::FateMessage::Ask {
+        let message = outcome::OutcomeMessage::Query {
             reply_to: self.config.peer_address,
             attempts: Vec::new(),
         };
         self.send_fate(peer, to, message);
     }
 
-    fn send_fate(&mut self, peer: ident::NodeId, to: SocketAddr, message: fate::FateMessage) {
-        self.send_frame(peer, to, frame::PeerFrame::Fate(Box::new(message)));
+    fn send_fate(&mut self, peer: ident::NodeId, to: SocketAddr, message: outcome::OutcomeMessage) {
+        self.send_frame(peer, to, frame::PeerFrame::Outcome(Box::new(message)));
     }
 
     /// Tells `peer` that this node is about to end.
     pub(crate) fn tell_leaving(&mut self, peer: ident::NodeId, to: SocketAddr) {
         let reply_to = self.config.peer_address;
-        let message = fate::FateMessage::Leaving { reply_to };
+        let message = outcome::OutcomeMessage::Leaving { reply_to };
         self.send_fate(peer, to, message);
     }
 
@@ -160,8 +160,8 @@
                 Some(due) => {
                     self.timers.set(due, timers::TimerKind::CallFate(sequence));
                     to = Some(address);
-                    asked.push(fate::AskedAttempt {
-                        id: fate::AttemptId { call, attempt },
+                    asked.push(outcome::QueriedAttempt {
+                        id: outcome::AttemptId { call, attempt },
                         age_micros: entry::micros(now.since(open.sent)),
                         idempotent: open.treatment.idempotent,
                     });
@@ -170,9 +170,9 @@
             }
         }
         self.counters.fates_asked += asked.len() as u64;
-        for attempts in asked.chunks(fate::MOST_ATTEMPTS) {
+        for attempts in asked.chunks(outcome::MAX_ATTEMPTS) {
             let attempts = attempts.to_vec();
-            let message = fate::FateMessage::Ask { reply_to, attempts };
+            let message = outcome::OutcomeMessage::Query { reply_to, attempts };
             if let Some(to) = to {
                 self.send_fate(peer, to, message);
             }
@@ -204,7 +204,12 @@
     }
 
     /// The target's node holds these attempts of calls of this node.
-    fn runs_held(&mut self, peer: ident::NodeId, reply_to: SocketAddr, held: &[fate::AttemptId]) {
+    fn runs_held(
+        &mut self,
+        peer: ident::NodeId,
+        reply_to: SocketAddr,
+        held: &[outcome::AttemptId],
+    ) {
         for id in held {
             if self.waits_for(peer, *id) {
                 if let Some(open) = self.calls.get_mut(id.call.sequence) {
@@ -219,24 +224,24 @@
     }
 
     /// The attempts that this node holds for `peer`, and where that one accepts connections.
-    fn held_for(&self, peer: ident::NodeId) -> Vec<(fate::AttemptId, SocketAddr)> {
+    fn held_for(&self, peer: ident::NodeId) -> Vec<(outcome::AttemptId, SocketAddr)> {
         let runs = self.runs.iter().filter(|(_, run)| run.peer == peer);
         runs.map(|(_, run)| (run.attempt_id(), run.reply_to))
             .collect()
     }
 
-    fn tell_held(&mut self, peer: ident::NodeId, to: SocketAddr, held: &[fate::AttemptId]) {
+    fn tell_held(&mut self, peer: ident::NodeId, to: SocketAddr, held: &[outcome::AttemptId]) {
         let reply_to = self.config.peer_address;
-        for attempts in held.chunks(fate::MOST_ATTEMPTS) {
+        for attempts in held.chunks(outcome::MAX_ATTEMPTS) {
             let attempts = attempts.to_vec();
-            let message = fate::FateMessage::Held { reply_to, attempts };
+            let message = outcome::OutcomeMessage::Pending { reply_to, attempts };
             self.send_fate(peer, to, message);
         }
     }
 
     /// An entry node could not be told what is held for it: tries again, and cancels what it asked for
     /// once it is taken for gone, since no answer can reach it.
-    fn held_unsent(&mut self, held: &[fate::AttemptId]) {
+    fn held_unsent(&mut self, held: &[outcome::AttemptId]) {
         let mut again = Vec::new();
         let mut to = None;
         for id in held {
@@ -264,7 +269,7 @@
         &mut self,
         peer: ident::NodeId,
         reply_to: SocketAddr,
-        asked: &[fate::AskedAttempt],
+        asked: &[outcome::QueriedAttempt],
     ) {
         self.farewell.heard(peer);
         let mut held = Vec::new();
@@ -300,7 +305,7 @@
     ///
     /// One that never came is barred before it is told as not run: its frame may still stand unread in
     /// the connection that ended, and would run after the request went elsewhere.
-    fn unknown_fate(&mut self, asked: &fate::AskedAttempt) -> call::PeerAnswer {
+    fn unknown_fate(&mut self, asked: &outcome::QueriedAttempt) -> call::PeerAnswer {
         self.counters.fates_unknown += 1;
         // The question may have been under way for as long as anybody waits for its answer.
         let age = Duration::from_micros(asked.age_micros) + CLAIM_PATIENCE;
@@ -313,7 +318,7 @@
                 verdict::CallVerdict::NotRun(verdict::RefusalReason::Unreachable)
             }
             repeats::AttemptStanding::Seen | repeats::AttemptStanding::Unsure => {
-                verdict::CallVerdict::MayHaveRun(verdict::DoubtReason::ConnectionLost)
+                verdict::CallVerdict::MayHaveRun(verdict::UncertaintyReason::ConnectionLost)
             }
         };
         call::PeerAnswer {
--- a/crates/anvil_core/src/fleet.rs
+++ b/crates/anvil_core/src/fleet.rs
@@ -40,7 +40,7 @@
         self.take_fleet(effects);
         match &message.kind {
             gossip::GossipKind::Quota(quota) => self.quota_arrived(from, message.head, quota),
-            gossip::GossipKind::Farewell(word) => {
+            gossip::GossipKind::Shutdown(word) => {
                 self.farewell_arrived(from, message.head.from, *word);
             }
             _ => {}
@@ -87,12 +87,12 @@
     }
 
     pub(crate) fn store_answered(&mut self, id: store::StoreId, outcome: store::StoreOutcome) {
-        match id.part {
-            store::StorePart::Fleet => {
+        match id.requester {
+            store::StoreRequester::Fleet => {
                 let effects = self.fleet.on_store(self.now, id, outcome);
                 self.take_fleet(effects);
             }
-            store::StorePart::Keys => self.key_store_answered(id, outcome),
+            store::StoreRequester::Keys => self.key_store_answered(id, outcome),
         }
     }
 
--- a/crates/anvil_core/src/kept.rs
+++ b/crates/anvil_core/src/kept.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use anvil_types::{sorted, time};
-use anvil_wire::{call, fate};
+use anvil_wire::{call, outcome};
 
 use crate::calls;
 
@@ -40,7 +40,7 @@
 #[derive(Clone, Copy, Debug)]
 struct KeptPlace {
     until: time::NodeTime,
-    id: fate::AttemptId,
+    id: outcome::AttemptId,
     bytes: usize,
 }
 
@@ -53,7 +53,7 @@
 #[derive(Clone, Debug)]
 pub struct AnswerKeep {
     bounds: KeepBounds,
-    answers: sorted::SortedTable<fate::AttemptId, call::PeerAnswer>,
+    answers: sorted::SortedTable<outcome::AttemptId, call::PeerAnswer>,
     order: VecDeque<KeptPlace>,
     bytes: usize,
 }
@@ -85,7 +85,7 @@
     }
 
     /// The answer to an attempt, where it is still kept.
-    pub fn get(&self, id: fate::AttemptId) -> Option<&call::PeerAnswer> {
+    pub fn get(&self, id: outcome::AttemptId) -> Option<&call::PeerAnswer> {
         self.answers.get(id)
     }
 
--- a/crates/anvil_core/src/keys.rs
+++ b/crates/anvil_core/src/keys.rs
@@ -133,7 +133,7 @@
         let ask = moment::KeyEvent::Ask {
             call,
             key,
-            print: open.context.print,
+            print: open.context.fingerprint,
             wait: open.deadline.since(self.now).min(KEY_WAIT),
         };
         self.tell_keyed(sequence, notes::KeyedStep::Asked);
@@ -329,24 +329,24 @@
 
     fn ask_key_store(&mut self, id: once::AskId, ask: &once::StoreAsk) {
         let ask = match ask {
-            once::StoreAsk::Read { slot } => store::StoreAsk::Get {
+            once::StoreAsk::Read { slot } => store::StoreRequest::Get {
                 key: key::slot_key(*slot),
             },
             once::StoreAsk::Swap { expected, view } => {
                 let Ok(value) = key::encode_view(view) else {
                     return;
                 };
-                let at = |version: &u64| store::SwapBase::At(store::StoreVersion(*version));
-                store::StoreAsk::Swap {
+                let at = |version: &u64| store::SwapCondition::At(store::StoreVersion(*version));
+                store::StoreRequest::Swap {
                     key: key::slot_key(view.slot),
-                    base: expected.as_ref().map_or(store::SwapBase::Absent, at),
+                    condition: expected.as_ref().map_or(store::SwapCondition::Absent, at),
                     value: Bytes::from(value),
                     lease: None,
                 }
             }
         };
         let id = store::StoreId {
-            part: store::StorePart::Keys,
+            requester: store::StoreRequester::Keys,
             sequence: id.0,
         };
         self.effects.push(effect::NodeEffect::AskStore { id, ask });
@@ -394,7 +394,7 @@
             moment::CallEnd::Answered(Box::new(answer.clone()))
         }
         (verdict::CallVerdict::Answered, None) => {
-            moment::CallEnd::MayHaveRun(verdict::DoubtReason::AnswerCut)
+            moment::CallEnd::MayHaveRun(verdict::UncertaintyReason::AnswerCut)
         }
         (verdict::CallVerdict::NotRun(_), _) => moment::CallEnd::NotRun,
         (verdict::CallVerdict::MayHaveRun(reason), _) => moment::CallEnd::MayHaveRun(reason),
--- a/crates/anvil_core/src/notes.rs
+++ b/crates/anvil_core/src/notes.rs
@@ -34,7 +34,7 @@
     /// Lane.
     pub lane: context::LaneHash,
     /// The rule that decided and its revision.
-    pub rule: treatment::RuleMark,
+    pub rule: treatment::RuleReference,
     /// Whether it ran, as the caller is told.
     #[serde(serialize_with = "in_words")]
     pub verdict: verdict::CallVerdict,
--- a/crates/anvil_core/src/overload.rs
+++ b/crates/anvil_core/src/overload.rs
@@ -100,7 +100,7 @@
         &mut self,
         service: &name::ServiceName,
         context: &context::CallContext,
-        mark: treatment::RuleMark,
+        mark: treatment::RuleReference,
         cause: RefusalCause,
     ) {
         self.overload.refusals.push(refusal::RefusalNote {
--- a/crates/anvil_core/src/reducer.rs
+++ b/crates/anvil_core/src/reducer.rs
@@ -7,7 +7,7 @@
 use anvil_quota::ledger;
 use anvil_rules::document;
 use anvil_types::{ident, name, store, time};
-use anvil_wire::{fate, frame};
+use anvil_wire::{frame, outcome};
 use rand_core::{Rng, SeedableRng};
 
 use crate::{
@@ -261,9 +261,9 @@
             frame::PeerFrame::Call(call) => self.peer_called(peer, *call),
             frame::PeerFrame::Answer(answer) => self.peer_answered(peer, *answer),
             frame::PeerFrame::Cancel { call, attempt } => {
-                self.attempt_cancelled(fate::AttemptId { call, attempt });
+                self.attempt_cancelled(outcome::AttemptId { call, attempt });
             }
-            frame::PeerFrame::Fate(message) => self.fate_arrived(peer, *message),
+            frame::PeerFrame::Outcome(message) => self.fate_arrived(peer, *message),
             frame::PeerFrame::Suspicion(notice) => {
                 self.overload.poison.learn(self.now, &notice);
             }
--- a/crates/anvil_core/src/repeats.rs
+++ b/crates/anvil_core/src/repeats.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use anvil_types::{sorted, time};
-use anvil_wire::fate;
+use anvil_wire::outcome;
 
 /// How long an attempt is remembered; no frame is under way for longer, since connections that
 /// deliver nothing for a minute are closed.
@@ -45,8 +45,8 @@
 #[derive(Clone, Debug)]
 pub struct RepeatGuard {
     memory: Duration,
-    seen: sorted::SortedTable<fate::AttemptId, ()>,
-    order: VecDeque<(time::NodeTime, fate::AttemptId)>,
+    seen: sorted::SortedTable<outcome::AttemptId, ()>,
+    order: VecDeque<(time::NodeTime, outcome::AttemptId)>,
     /// Whatever came at this time or before it may be forgotten.
     forgotten: Option<time::NodeTime>,
     /// When the guard was last asked.
@@ -66,7 +66,7 @@
     }
 
     /// Notes an attempt; tells whether it is new.
-    pub fn admit(&mut self, now: time::NodeTime, id: fate::AttemptId) -> bool {
+    pub fn admit(&mut self, now: time::NodeTime, id: outcome::AttemptId) -> bool {
         self.forget(now);
         if self.seen.get(id).is_some() {
             return false;
@@ -77,7 +77,7 @@
     }
 
     /// Whether an attempt that was sent at `sent` or later has come.
-    pub fn standing(&self, id: fate::AttemptId, sent: time::NodeTime) -> AttemptStanding {
+    pub fn standing(&self, id: outcome::AttemptId, sent: time::NodeTime) -> AttemptStanding {
         match self.seen.get(id) {
             Some(()) => AttemptStanding::Seen,
             None if self.forgotten.is_some_and(|until| sent <= until) => AttemptStanding::Unsure,
--- a/crates/anvil_core/src/retrying.rs
+++ b/crates/anvil_core/src/retrying.rs
@@ -42,7 +42,7 @@
             self.counters.calls_unauthenticated += 1;
             return Some(reason);
         }
-        if let Some(limit) = self.quarantine_of(open.context.print) {
+        if let Some(limit) = self.quarantine_of(open.context.fingerprint) {
             self.blame(sequence, limit);
             return Some(verdict::RefusalReason::Quarantined);
         }
@@ -85,8 +85,13 @@
         let Some(service) = services.next().cloned() else {
             return;
         };
-        let prints: Vec<(ident::PrintHash, quarantine::CrashRule)> = open
-            .map(|open| (open.context.print, overload::crash_rule(&open.treatment)))
+        let prints: Vec<(ident::RequestFingerprint, quarantine::CrashRule)> = open
+            .map(|open| {
+                (
+                    open.context.fingerprint,
+                    overload::crash_rule(&open.treatment),
+                )
+            })
             .collect();
         let now = self.now;
         let notice = self.overload.poison.peer_lost(now, peer, &service, &prints);
@@ -96,7 +101,9 @@
     /// Takes a strike back from a request that came back whole.
     pub(crate) fn absolve(&mut self, sequence: u64) {
         if let Some(open) = self.calls.get(sequence) {
-            self.overload.poison.answered(self.now, open.context.print);
+            self.overload
+                .poison
+                .answered(self.now, open.context.fingerprint);
         }
     }
 
@@ -238,7 +245,7 @@
         open: &calls::OpenCall,
         verdict: verdict::CallVerdict,
     ) -> Option<Duration> {
-        let in_progress = verdict::DoubtReason::InProgress;
+        let in_progress = verdict::UncertaintyReason::InProgress;
         if verdict == verdict::CallVerdict::MayHaveRun(in_progress) {
             return Some(keys::IN_PROGRESS_RETRY);
         }
@@ -305,7 +312,11 @@
     }
 
     fn quarantine_left(&self, open: &calls::OpenCall) -> Option<Duration> {
-        match self.overload.poison.standing(self.now, open.context.print) {
+        match self
+            .overload
+            .poison
+            .standing(self.now, open.context.fingerprint)
+        {
             quarantine::PrintStanding::Quarantined { left, .. } => Some(left),
             // The target's node refused it and this one has not heard of the crashes.
             quarantine::PrintStanding::Clean | quarantine::PrintStanding::Suspect => {
@@ -371,14 +382,14 @@
                 | verdict::RefusalReason::Unreachable
         ),
         verdict::CallVerdict::MayHaveRun(reason) => match reason {
-            verdict::DoubtReason::ConnectionLost
-            | verdict::DoubtReason::AnswerCut
-            | verdict::DoubtReason::NodeLost
-            | verdict::DoubtReason::Stopped => idempotent,
-            verdict::DoubtReason::Deadline
-            | verdict::DoubtReason::RecordLost
-            | verdict::DoubtReason::Cancelled
-            | verdict::DoubtReason::InProgress => false,
+            verdict::UncertaintyReason::ConnectionLost
+            | verdict::UncertaintyReason::AnswerCut
+            | verdict::UncertaintyReason::NodeLost
+            | verdict::UncertaintyReason::Stopped => idempotent,
+            verdict::UncertaintyReason::Deadline
+            | verdict::UncertaintyReason::RecordLost
+            | verdict::UncertaintyReason::Cancelled
+            | verdict::UncertaintyReason::InProgress => false,
         },
     }
 }
--- a/crates/anvil_core/src/runs.rs
+++ b/crates/anvil_core/src/runs.rs
@@ -2,7 +2,7 @@
 
 use anvil_overload::{allowance, kind};
 use anvil_types::{context, ident, name, sorted, time, treatment};
-use anvil_wire::{call, fate};
+use anvil_wire::{call, outcome};
 
 use crate::{event, notes, waits};
 
@@ -54,7 +54,7 @@
     /// When the caller stops waiting.
     pub deadline: time::NodeTime,
     /// Which of the entry node's rules decided.
-    pub mark: treatment::RuleMark,
+    pub mark: treatment::RuleReference,
     /// The allowance that came with the call, on which the target's own calls draw.
     pub allowance: allowance::ChainAllowance,
     /// When it was accepted.
@@ -75,8 +75,8 @@
 
 impl TargetRun {
     /// Which attempt it is.
-    pub fn attempt_id(&self) -> fate::AttemptId {
-        fate::AttemptId {
+    pub fn attempt_id(&self) -> outcome::AttemptId {
+        outcome::AttemptId {
             call: self.call,
             attempt: self.attempt,
         }
@@ -153,7 +153,7 @@
     }
 
     /// The run of one attempt.
-    pub fn of_attempt(&self, id: fate::AttemptId) -> Option<event::RunId> {
+    pub fn of_attempt(&self, id: outcome::AttemptId) -> Option<event::RunId> {
         let mut entries = self.runs.iter();
         let found = entries.find(|(_, run)| run.attempt_id() == id);
         found.map(|(id, _)| event::RunId(*id))
--- a/crates/anvil_core/src/serving.rs
+++ b/crates/anvil_core/src/serving.rs
@@ -5,7 +5,7 @@
 
 use anvil_overload::{allowance, kind};
 use anvil_types::{ident, verdict};
-use anvil_wire::{call, fate, frame};
+use anvil_wire::{call, frame, outcome};
 
 use crate::{effect, event, notes, reducer, runs, stopping, timers, waits};
 
@@ -21,7 +21,7 @@
         if let Some(cause) = self.refusal_at_target(&call) {
             self.counters.runs_refused += 1;
             let service = call.request.service.clone();
-            self.note_refusal(&service, &call.context, call.mark, cause);
+            self.note_refusal(&service, &call.context, call.rule, cause);
             self.answer_refusal(peer, &call, cause.reason);
             return;
         }
@@ -39,7 +39,7 @@
             request: Some(call.request),
             context: call.context,
             treatment: call.treatment,
-            mark: call.mark,
+            mark: call.rule,
             deadline,
             stage: runs::RunStage::Queued,
             untold: 0,
@@ -195,7 +195,7 @@
         }
     }
 
-    pub(crate) fn attempt_cancelled(&mut self, id: fate::AttemptId) {
+    pub(crate) fn attempt_cancelled(&mut self, id: outcome::AttemptId) {
         if let Some(run) = self.runs.of_attempt(id) {
             self.cancel_run(run);
         }
@@ -261,16 +261,16 @@
             verdict::CallVerdict::NotRun(verdict::RefusalReason::Unreachable)
         }
         event::RunOutcome::Broken { in_answer: false } => {
-            verdict::CallVerdict::MayHaveRun(verdict::DoubtReason::ConnectionLost)
+            verdict::CallVerdict::MayHaveRun(verdict::UncertaintyReason::ConnectionLost)
         }
         event::RunOutcome::Broken { in_answer: true } => {
-            verdict::CallVerdict::MayHaveRun(verdict::DoubtReason::AnswerCut)
+            verdict::CallVerdict::MayHaveRun(verdict::UncertaintyReason::AnswerCut)
         }
         event::RunOutcome::TimedOut => {
-            verdict::CallVerdict::MayHaveRun(verdict::DoubtReason::Deadline)
+            verdict::CallVerdict::MayHaveRun(verdict::UncertaintyReason::Deadline)
         }
         event::RunOutcome::Cancelled => {
-            verdict::CallVerdict::MayHaveRun(verdict::DoubtReason::Cancelled)
+            verdict::CallVerdict::MayHaveRun(verdict::UncertaintyReason::Cancelled)
         }
     };
     (verdict, None)
--- a/crates/anvil_core/src/settling.rs
+++ b/crates/anvil_core/src/settling.rs
@@ -166,7 +166,7 @@
             routing::AttemptEnd::Lost
         }
         verdict::CallVerdict::NotRun(_) => routing::AttemptEnd::Fine,
-        verdict::CallVerdict::MayHaveRun(verdict::DoubtReason::Cancelled) => {
+        verdict::CallVerdict::MayHaveRun(verdict::UncertaintyReason::Cancelled) => {
             routing::AttemptEnd::Fine
         }
         verdict::CallVerdict::MayHaveRun(_) if answer.failed_below => routing::AttemptEnd::Fine,
--- a/crates/anvil_core/src/stop_notices.rs
+++ b/crates/anvil_core/src/stop_notices.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use anvil_types::ident;
-use anvil_wire::{farewell, gossip};
+use anvil_wire::{gossip, shutdown};
 
 use crate::{reducer, timers};
 
@@ -20,9 +20,9 @@
         if unheard.is_empty() {
             return;
         }
-        let stopping = farewell::FarewellMessage::Stopping;
+        let stopping = shutdown::ShutdownMessage::Stopping;
         for to in unheard {
-            let kind = gossip::GossipKind::Farewell(stopping);
+            let kind = gossip::GossipKind::Shutdown(stopping);
             let sent = self.fleet.message_with_claim(to, kind);
             self.take_fleet(vec![sent]);
         }
@@ -35,17 +35,17 @@
         &mut self,
         from: SocketAddr,
         peer: ident::NodeId,
-        word: farewell::FarewellMessage,
+        word: shutdown::ShutdownMessage,
     ) {
         match word {
-            farewell::FarewellMessage::Stopping => {
+            shutdown::ShutdownMessage::Stopping => {
                 let calls_out = !self.calls.out_at(peer).is_empty();
-                let heard = farewell::FarewellMessage::Heard { calls_out };
-                let kind = gossip::GossipKind::Farewell(heard);
+                let heard = shutdown::ShutdownMessage::Acknowledged { calls_out };
+                let kind = gossip::GossipKind::Shutdown(heard);
                 let sent = self.fleet.message(from, kind);
                 self.take_fleet(vec![sent]);
             }
-            farewell::FarewellMessage::Heard { calls_out } => {
+            shutdown::ShutdownMessage::Acknowledged { calls_out } => {
                 self.farewell.noticed(peer);
                 let address = self.fleet.table().get(peer).map(|member| member.facts.tcp);
                 if let Some(address) = address.filter(|_| calls_out) {
--- a/crates/anvil_core/src/stopping.rs
+++ b/crates/anvil_core/src/stopping.rs
@@ -173,7 +173,7 @@
 
 fn stopped(out: bool) -> verdict::CallVerdict {
     if out {
-        verdict::CallVerdict::MayHaveRun(verdict::DoubtReason::Stopped)
+        verdict::CallVerdict::MayHaveRun(verdict::UncertaintyReason::Stopped)
     } else {
         verdict::CallVerdict::NotRun(verdict::RefusalReason::Leaving)
     }
--- a/crates/anvil_core/tests/accounts.rs
+++ b/crates/anvil_core/tests/accounts.rs
@@ -130,7 +130,10 @@
     let effects = node.step(support::at(1), arrival(1, Some(KEY), "9c41", None));
     let (_, call) = support::sent_calls(&effects).remove(0);
     assert_eq!(call.context.class, context::PriorityClass::High);
-    assert_eq!(call.context.by_rule, Some(context::PriorityClass::Critical));
+    assert_eq!(
+        call.context.rule_class,
+        Some(context::PriorityClass::Critical)
+    );
     assert!(call.context.lane.0 < 64);
 }
 
--- a/crates/anvil_core/tests/births.rs
+++ b/crates/anvil_core/tests/births.rs
@@ -119,7 +119,7 @@
     assert!(cancelled);
     let outcome = event::RunOutcome::Cancelled;
     let effects = node.step(at(2_001), event::NodeEvent::RunEnded { run, outcome });
-    let doubt = verdict::CallVerdict::MayHaveRun(verdict::DoubtReason::ConnectionLost);
+    let doubt = verdict::CallVerdict::MayHaveRun(verdict::UncertaintyReason::ConnectionLost);
     assert_eq!(replies(&effects), [(1, doubt)]);
     let calls = (10..14).map(|call| node.step(at(2_002), support::peer_call(call, true)));
     let all: usize = calls.map(|effects| started(&effects).len()).sum();
--- a/crates/anvil_core/tests/blame.rs
+++ b/crates/anvil_core/tests/blame.rs
@@ -93,5 +93,5 @@
     an_answer_tells_whose_failure_it_is:
     the_call_was_answered => (verdict::CallVerdict::Answered, false),
     the_call_may_have_run => (
-        verdict::CallVerdict::MayHaveRun(verdict::DoubtReason::Deadline), true),
+        verdict::CallVerdict::MayHaveRun(verdict::UncertaintyReason::Deadline), true),
 }
--- a/crates/anvil_core/tests/broken_links.rs
+++ b/crates/anvil_core/tests/broken_links.rs
@@ -13,7 +13,7 @@
 
 use anvil_core::{effect, event, reducer};
 use anvil_types::{ident, verdict};
-use anvil_wire::{fate, frame};
+use anvil_wire::{frame, outcome};
 
 /// Runs of the target's node that have come to their end, and those that were cancelled.
 #[derive(Debug, Default)]
@@ -234,22 +234,22 @@
     pair.call(2, "POST");
     pair.deliver();
     pair.end_run(1);
-    let id = fate::AttemptId {
+    let id = outcome::AttemptId {
         call: ident::CallId {
             node: support::NODE,
             sequence: 1,
         },
         attempt: 1,
     };
-    let ask = fate::FateMessage::Ask {
+    let ask = outcome::OutcomeMessage::Query {
         reply_to: support::address(7_000),
-        attempts: vec![fate::AskedAttempt {
+        attempts: vec![outcome::QueriedAttempt {
             id,
             age_micros: 1_000_000,
             idempotent: false,
         }],
     };
-    let frame = frame::PeerFrame::Fate(Box::new(ask));
+    let frame = frame::PeerFrame::Outcome(Box::new(ask));
     let peer = support::NODE;
     pair.step(
         support::PEER,
@@ -259,7 +259,7 @@
         frame::PeerFrame::Answer(answer) if answer.call == id.call => Some(answer.verdict),
         _ => None,
     });
-    let doubt = verdict::CallVerdict::MayHaveRun(verdict::DoubtReason::ConnectionLost);
+    let doubt = verdict::CallVerdict::MayHaveRun(verdict::UncertaintyReason::ConnectionLost);
     assert_eq!(answers.collect::<Vec<_>>(), [doubt]);
 }
 
@@ -288,7 +288,7 @@
     pair.call(1, "POST");
     pair.deliver();
     pair.lose(support::PEER);
-    let lost = verdict::CallVerdict::MayHaveRun(verdict::DoubtReason::NodeLost);
+    let lost = verdict::CallVerdict::MayHaveRun(verdict::UncertaintyReason::NodeLost);
     assert_eq!(pair.verdict(1), Some(lost));
     assert!(pair.now < 100, "{}", pair.now);
 }
--- a/crates/anvil_core/tests/fleet.rs
+++ b/crates/anvil_core/tests/fleet.rs
@@ -39,7 +39,7 @@
     })
 }
 
-fn rumour(standing: gossip::MemberStanding) -> event::NodeEvent {
+fn rumour(standing: gossip::MemberStatus) -> event::NodeEvent {
     let head = gossip::GossipHead {
         from: ident::NodeId(9),
         incarnation: 0,
@@ -49,7 +49,7 @@
     let updates = vec![gossip::MemberUpdate {
         node: PEER,
         incarnation: 3,
-        standing,
+        status: standing,
     }];
     let kind = gossip::GossipKind::Rumour;
     event::NodeEvent::DatagramArrived {
@@ -62,8 +62,8 @@
     }
 }
 
-fn alive() -> gossip::MemberStanding {
-    gossip::MemberStanding::Alive(Box::new(gossip::MemberFacts {
+fn alive() -> gossip::MemberStatus {
+    gossip::MemberStatus::Alive(Box::new(gossip::MemberFacts {
         tcp: address(7102),
         udp: address(7102),
         zone: name::ZoneName::new("ar-centro-a").unwrap(),
@@ -99,7 +99,7 @@
     let mut node = support::entry_node();
     node.step(at(5), rumour(alive()));
     assert_eq!(verdict_of(&mut node, 10), None, "the request is out");
-    let mut effects = node.step(at(900), rumour(gossip::MemberStanding::Gone));
+    let mut effects = node.step(at(900), rumour(gossip::MemberStatus::Dead));
     let next = verdict_of(&mut node, 910);
     assert!(
         matches!(next, Some(verdict::CallVerdict::NotRun(_))),
--- a/crates/anvil_core/tests/keyed.rs
+++ b/crates/anvil_core/tests/keyed.rs
@@ -24,7 +24,7 @@
     fleet.run(Duration::from_secs(1));
     assert_eq!(fleet.runs.len(), 1);
     assert_eq!(fleet.told(first).verdict, verdict::CallVerdict::Answered);
-    let running = verdict::CallVerdict::MayHaveRun(verdict::DoubtReason::InProgress);
+    let running = verdict::CallVerdict::MayHaveRun(verdict::UncertaintyReason::InProgress);
     assert_eq!(fleet.told(second).verdict, running);
     assert_eq!(fleet.told(third).verdict, verdict::CallVerdict::Answered);
     assert_eq!(fleet.told(third).body, fleet.told(first).body);
@@ -219,7 +219,7 @@
         .into_iter()
         .find(|verdict| !answered(verdict));
     assert_eq!(cut, None);
-    let running = verdict::CallVerdict::MayHaveRun(verdict::DoubtReason::InProgress);
+    let running = verdict::CallVerdict::MayHaveRun(verdict::UncertaintyReason::InProgress);
     let told: Vec<_> = verdicts(&seconds)
         .into_iter()
         .filter(|told| !answered(told))
--- a/crates/anvil_core/tests/keyed_fleet/mod.rs
+++ b/crates/anvil_core/tests/keyed_fleet/mod.rs
@@ -25,7 +25,7 @@
 
 enum Moment {
     Node(ident::NodeId, Box<event::NodeEvent>),
-    Store(ident::NodeId, store::StoreId, Box<store::StoreAsk>),
+    Store(ident::NodeId, store::StoreId, Box<store::StoreRequest>),
     Watches,
 }
 
--- a/crates/anvil_core/tests/memory.rs
+++ b/crates/anvil_core/tests/memory.rs
@@ -6,13 +6,13 @@
 
 use anvil_core::{kept, repeats};
 use anvil_types::{ident, time, verdict};
-use anvil_wire::{call, fate};
+use anvil_wire::{call, outcome};
 use bytes::Bytes;
 
 const MEMORY: Duration = Duration::from_secs(10);
 
-fn id(sequence: u64) -> fate::AttemptId {
-    fate::AttemptId {
+fn id(sequence: u64) -> outcome::AttemptId {
+    outcome::AttemptId {
         call: ident::CallId {
             node: ident::NodeId(1),
             sequence,
--- a/crates/anvil_core/tests/platform_hardships.rs
+++ b/crates/anvil_core/tests/platform_hardships.rs
@@ -137,7 +137,7 @@
     node.step(at(20), support::arrival(1, "POST"));
     let effects = support::run_until(&mut node, at(5_010));
     let told = replies(&effects);
-    let stopped = verdict::CallVerdict::MayHaveRun(verdict::DoubtReason::Stopped);
+    let stopped = verdict::CallVerdict::MayHaveRun(verdict::UncertaintyReason::Stopped);
     assert_eq!(told, [(1, stopped)]);
     let left = effects
         .iter()
--- a/crates/anvil_core/tests/rules.rs
+++ b/crates/anvil_core/tests/rules.rs
@@ -109,7 +109,7 @@
         effect::NodeEffect::ReplyCaller { reply, .. } => Some((reply.verdict, reply.mark)),
         _ => None,
     });
-    let mark = treatment::RuleMark {
+    let mark = treatment::RuleReference {
         revision: ident::RuleRevision(3),
         index: Some(1),
     };
--- a/crates/anvil_core/tests/silent_stops.rs
+++ b/crates/anvil_core/tests/silent_stops.rs
@@ -14,7 +14,7 @@
 
 use anvil_core::{config, effect, event, reducer, stopping};
 use anvil_types::{ident, name, time, verdict};
-use anvil_wire::{fate, frame, gossip};
+use anvil_wire::{frame, gossip, outcome};
 
 /// One way between the two nodes.
 const HOP: Duration = Duration::from_micros(1_500);
@@ -171,7 +171,9 @@
         }
         let is_probed = match &frame {
             frame::PeerFrame::Call(_) => true,
-            frame::PeerFrame::Fate(message) => !matches!(**message, fate::FateMessage::Held { .. }),
+            frame::PeerFrame::Outcome(message) => {
+                !matches!(**message, outcome::OutcomeMessage::Pending { .. })
+            }
             _ => false,
         };
         if is_probed {
@@ -282,7 +284,7 @@
         updates: vec![gossip::MemberUpdate {
             node: gone,
             incarnation: 1_000,
-            standing: gossip::MemberStanding::Gone,
+            status: gossip::MemberStatus::Dead,
         }],
     };
     let from = support::address(7_003);
--- a/crates/anvil_core/tests/support/mod.rs
+++ b/crates/anvil_core/tests/support/mod.rs
@@ -119,7 +119,7 @@
     let context = context::CallContext {
         request: ident::RequestId(u128::from(sequence)),
         class: treatment.class,
-        by_rule: None,
+        rule_class: None,
         lane: context::LaneHash(0),
         remaining_micros: 5_000_000,
         retries_left: 0,
@@ -127,7 +127,7 @@
         idempotent,
         repeat: false,
         key: None,
-        print: ident::PrintHash(sequence),
+        fingerprint: ident::RequestFingerprint(sequence),
     };
     let call = call::PeerCall {
         account: None,
@@ -139,7 +139,7 @@
         reply_to: address(7102),
         context,
         treatment,
-        mark: treatment::RuleMark::default(),
+        rule: treatment::RuleReference::default(),
         label: None,
         request: request(if idempotent { "GET" } else { "POST" }),
     };
--- a/crates/anvil_core/tests/verdicts.rs
+++ b/crates/anvil_core/tests/verdicts.rs
@@ -16,7 +16,7 @@
     support::learn(&mut node, support::PEER);
     support::learn(&mut node, ident::NodeId(3));
     let mut effects = node.step(support::at(1), support::arrival(1, "GET"));
-    let doubt = verdict::CallVerdict::MayHaveRun(verdict::DoubtReason::ConnectionLost);
+    let doubt = verdict::CallVerdict::MayHaveRun(verdict::UncertaintyReason::ConnectionLost);
     let refusal = verdict::CallVerdict::NotRun(verdict::RefusalReason::QueueFull);
     let mut verdicts = [doubt, refusal, refusal, refusal, refusal].into_iter();
     let mut now = 2;
@@ -46,7 +46,7 @@
     support::learn(&mut node, ident::NodeId(3));
     let effects = node.step(support::at(1), support::arrival(1, "GET"));
     let (peer, call) = support::sent_calls(&effects).remove(0);
-    let lost = verdict::CallVerdict::MayHaveRun(verdict::DoubtReason::ConnectionLost);
+    let lost = verdict::CallVerdict::MayHaveRun(verdict::UncertaintyReason::ConnectionLost);
     let effects = node.step(support::at(2), support::answer(peer, &call, lost));
     assert!(support::replies(&effects).is_empty());
     node.step(support::at(3), event::NodeEvent::StopRequested);
--- a/crates/anvil_core/tests/whole_path.rs
+++ b/crates/anvil_core/tests/whole_path.rs
@@ -113,7 +113,7 @@
     let effects = node.step(at(4), event::NodeEvent::StopRequested);
     assert!(started(&effects).is_empty());
     let verdicts = replies(&effects);
-    let doubt = verdict::CallVerdict::MayHaveRun(verdict::DoubtReason::Stopped);
+    let doubt = verdict::CallVerdict::MayHaveRun(verdict::UncertaintyReason::Stopped);
     assert_eq!(verdicts[0], (1, doubt));
     assert_eq!(
         verdicts[1],
--- a/crates/anvil_edge/src/caller.rs
+++ b/crates/anvil_edge/src/caller.rs
@@ -9,7 +9,7 @@
 use http_body_util::Full;
 
 /// A response with its whole body.
-pub type WholeResponse = Response<Full<Bytes>>;
+pub type FullResponse = Response<Full<Bytes>>;
 
 /// A call as read from a head, before its body.
 #[derive(Debug)]
@@ -49,7 +49,7 @@
     #[display("the header anvil-parent holds no token of this node")]
     ParentForged,
     /// The body is above the limit.
-    #[display("the body is above {} bytes", codec::BODY_LIMIT)]
+    #[display("the body is above {} bytes", codec::MAX_BODY_BYTES)]
     BodyOversized,
     /// The body did not arrive in time.
     #[display("the body did not arrive in time")]
@@ -61,7 +61,7 @@
 
 impl IntakeRefusal {
     /// Whether unread bytes of the body may stand on the connection, so that it has to close.
-    pub fn leaves_body(&self) -> bool {
+    pub fn leaves_unread_body(&self) -> bool {
         !matches!(
             self,
             Self::HintMalformed { .. } | Self::ParentForged | Self::ServiceMissing
@@ -77,8 +77,8 @@
     fn read_head(&self, head: &request::Parts) -> Result<CallHead, IntakeRefusal>;
 
     /// The response to a request that the edge refused.
-    fn refused(&self, refusal: &IntakeRefusal) -> WholeResponse;
+    fn refused(&self, refusal: &IntakeRefusal) -> FullResponse;
 
     /// The response that tells a reply of the reducer.
-    fn reply(&self, reply: effect::CallerReply) -> WholeResponse;
+    fn reply(&self, reply: effect::CallerReply) -> FullResponse;
 }
--- a/crates/anvil_edge/src/control.rs
+++ b/crates/anvil_edge/src/control.rs
@@ -11,7 +11,7 @@
     /// Asks whether callers should send this node work.
     Readiness,
     /// Tells something that the reducer takes in before it is acknowledged.
-    Tell(event::NodeEvent),
+    Notify(event::NodeEvent),
 }
 
 /// Why a call to the control address was refused.
@@ -40,7 +40,7 @@
     /// The answer to [`ControlCall::Readiness`].
     Ready(bool),
     /// The reducer has taken it in.
-    Taken,
+    Accepted,
     /// It was refused, and nothing was changed.
     Refused(ControlRefusal),
 }
--- a/crates/anvil_edge/src/target.rs
+++ b/crates/anvil_edge/src/target.rs
@@ -20,19 +20,19 @@
         holder: Option<ident::IncarnationId>,
     },
     /// It answers another request, so the answer to this one is still to come.
-    Stray,
+    Unrelated,
     /// It can't be what the target meant to say, so whether the request ran is not known.
-    Spoilt,
+    Invalid,
 }
 
 /// How a body that states no length ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OpenEnd {
+pub enum CloseMeaning {
     /// The end of its connection looks the same whether the target finished it or died, so it
     /// counts as cut off.
-    Cut,
+    Truncated,
     /// A clean end of the connection ends it; a reset cuts it off.
-    Whole,
+    Complete,
 }
 
 /// How requests to the target and its answers look on the wire.
@@ -43,14 +43,14 @@
     fn build(&self, order: &effect::RunOrder) -> Option<http::Request<Bytes>>;
 
     /// What an answer with this head means for `order`.
-    fn judge(&self, order: &effect::RunOrder, head: &response::Parts) -> AnswerMeaning;
+    fn classify(&self, order: &effect::RunOrder, head: &response::Parts) -> AnswerMeaning;
 
     /// How a body that states no length ends.
-    fn open_end(&self) -> OpenEnd;
+    fn close_meaning(&self) -> CloseMeaning;
 
     /// Whether a header of the answer is for this node alone and goes no further; names are lower
     /// case.
-    fn keeps_back(&self, header: &str) -> bool;
+    fn is_internal_header(&self, header: &str) -> bool;
 }
 
 /// The request of `order` with its end-to-end headers, to which a dialect adds its own; none where it
--- a/crates/anvil_membership/examples/capacity/fed.rs
+++ b/crates/anvil_membership/examples/capacity/fed.rs
@@ -133,7 +133,7 @@
             second: (0, 0),
         };
         let members: Vec<_> = (1..size).collect();
-        for part in members.chunks(gossip::BULK_LIMIT) {
+        for part in members.chunks(gossip::MAX_BULK_UPDATES) {
             let updates = part.iter().map(|index| node.claim(*index)).collect();
             let message = gossip::SyncMessage::Members {
                 head: node.head(1),
@@ -393,7 +393,7 @@
         gossip::MemberUpdate {
             node: harness::id(index),
             incarnation: self.incarnations[index],
-            standing: gossip::MemberStanding::Alive(Box::new(facts)),
+            status: gossip::MemberStatus::Alive(Box::new(facts)),
         }
     }
 
@@ -401,7 +401,7 @@
         gossip::MemberUpdate {
             node: harness::id(index),
             incarnation: self.incarnations[index],
-            standing: gossip::MemberStanding::Gone,
+            status: gossip::MemberStatus::Dead,
         }
     }
 
--- a/crates/anvil_membership/src/asking.rs
+++ b/crates/anvil_membership/src/asking.rs
@@ -102,7 +102,7 @@
             lost_at: now + ANSWER_LIMIT,
         });
         store::StoreId {
-            part: store::StorePart::Fleet,
+            requester: store::StoreRequester::Fleet,
             sequence,
         }
     }
--- a/crates/anvil_membership/src/census.rs
+++ b/crates/anvil_membership/src/census.rs
@@ -105,7 +105,7 @@
 
 /// Names a lagging member where there is room.
 pub fn note_lagging(count: &mut gossip::CensusCount, node: ident::NodeId) {
-    if count.lagging.len() < gossip::LAGGING_LIMIT {
+    if count.lagging.len() < gossip::MAX_LAGGING_MEMBERS {
         count.lagging.push(node);
     }
 }
--- a/crates/anvil_membership/src/digest.rs
+++ b/crates/anvil_membership/src/digest.rs
@@ -13,12 +13,12 @@
 /// The number of buckets for a fleet of `live` members.
 pub fn bucket_count(live: usize) -> usize {
     let wanted = live.div_ceil(BUCKET_MEMBERS).max(1);
-    wanted.next_power_of_two().min(gossip::BUCKETS_LIMIT)
+    wanted.next_power_of_two().min(gossip::MAX_DIGEST_BUCKETS)
 }
 
 /// Whether a peer's number of buckets is one that this node works with.
 pub fn is_bucket_count(count: usize) -> bool {
-    count.is_power_of_two() && count <= gossip::BUCKETS_LIMIT
+    count.is_power_of_two() && count <= gossip::MAX_DIGEST_BUCKETS
 }
 
 /// One sum for each bucket over the members believed alive.
--- a/crates/anvil_membership/src/effect.rs
+++ b/crates/anvil_membership/src/effect.rs
@@ -109,7 +109,7 @@
         /// Identity of the question.
         id: store::StoreId,
         /// The question.
-        ask: store::StoreAsk,
+        ask: store::StoreRequest,
     },
     /// A member became known alive.
     MemberUp(member::MemberView),
--- a/crates/anvil_membership/src/fleet/asks.rs
+++ b/crates/anvil_membership/src/fleet/asks.rs
@@ -29,7 +29,7 @@
         &mut self,
         now: time::NodeTime,
         purpose: asking::AskPurpose,
-        ask: store::StoreAsk,
+        ask: store::StoreRequest,
         out: &mut Vec<effect::FleetEffect>,
     ) {
         if self.asks.is_open(purpose) {
@@ -63,7 +63,7 @@
         let failed = matches!(
             outcome,
             store::StoreOutcome::Unavailable
-                | store::StoreOutcome::HistoryLost
+                | store::StoreOutcome::HistoryTrimmed
                 | store::StoreOutcome::Unknown
         );
         self.counters.store_failed += u64::from(failed);
--- a/crates/anvil_membership/src/fleet/claims.rs
+++ b/crates/anvil_membership/src/fleet/claims.rs
@@ -17,13 +17,13 @@
             self.hear_of_self(now, update, out);
             return;
         }
-        match &update.standing {
-            gossip::MemberStanding::Alive(facts) => self.hear_alive(now, update, facts, out),
-            gossip::MemberStanding::Suspect { by } => self.hear_suspect(now, update, *by, out),
-            gossip::MemberStanding::Gone => {
+        match &update.status {
+            gossip::MemberStatus::Alive(facts) => self.hear_alive(now, update, facts, out),
+            gossip::MemberStatus::Suspect { by } => self.hear_suspect(now, update, *by, out),
+            gossip::MemberStatus::Dead => {
                 self.hear_end(now, update, effect::GoneReason::Crashed, out);
             }
-            gossip::MemberStanding::Left => {
+            gossip::MemberStatus::Left => {
                 self.hear_end(now, update, effect::GoneReason::Left, out);
             }
         }
@@ -34,18 +34,18 @@
         let record = self.table.get(node)?;
         let standing = match record.state {
             member::MemberState::Alive => {
-                gossip::MemberStanding::Alive(Box::new(record.facts.clone()))
+                gossip::MemberStatus::Alive(Box::new(record.facts.clone()))
             }
-            member::MemberState::Suspect => gossip::MemberStanding::Suspect {
+            member::MemberState::Suspect => gossip::MemberStatus::Suspect {
                 by: self.latest_accuser(node),
             },
-            member::MemberState::Gone => gossip::MemberStanding::Gone,
-            member::MemberState::Left => gossip::MemberStanding::Left,
+            member::MemberState::Gone => gossip::MemberStatus::Dead,
+            member::MemberState::Left => gossip::MemberStatus::Left,
         };
         Some(gossip::MemberUpdate {
             node,
             incarnation: record.incarnation,
-            standing,
+            status: standing,
         })
     }
 
@@ -60,7 +60,7 @@
         Some(gossip::MemberUpdate {
             node,
             incarnation: record.told,
-            standing: gossip::MemberStanding::Alive(Box::new(record.facts.clone())),
+            status: gossip::MemberStatus::Alive(Box::new(record.facts.clone())),
         })
     }
 
@@ -77,7 +77,7 @@
         let update = gossip::MemberUpdate {
             node,
             incarnation: record.incarnation,
-            standing: gossip::MemberStanding::Suspect { by: self.local },
+            status: gossip::MemberStatus::Suspect { by: self.local },
         };
         self.apply(now, &update, out);
         self.suspicions.take_part(node, now);
@@ -148,7 +148,7 @@
         update: &gossip::MemberUpdate,
         out: &mut Vec<effect::FleetEffect>,
     ) {
-        let alive = member::claimed_state(&update.standing) == member::MemberState::Alive;
+        let alive = member::claimed_state(&update.status) == member::MemberState::Alive;
         if update.incarnation < self.incarnation {
             // Refuted before, but the sender missed it and would end this node although it
             // answers each of its pings: the refutation goes along with the next answer.
@@ -301,7 +301,7 @@
         out: &mut Vec<effect::FleetEffect>,
     ) {
         let node = update.node;
-        let rank = (update.incarnation, member::claimed_state(&update.standing));
+        let rank = (update.incarnation, member::claimed_state(&update.status));
         let Some(record) = self.table.get(node).filter(|r| rank > r.rank()) else {
             return;
         };
--- a/crates/anvil_membership/src/fleet/contacts.rs
+++ b/crates/anvil_membership/src/fleet/contacts.rs
@@ -52,7 +52,7 @@
             (
                 asking::AskPurpose::GrantContact { slot },
                 store::StoreOutcome::Done(store::StoreReply::Granted { lease }),
-            ) => self.take_contact(now, slot, lease, store::SwapBase::Absent, out),
+            ) => self.take_contact(now, slot, lease, store::SwapCondition::Absent, out),
             (
                 asking::AskPurpose::TakeContact { slot, lease },
                 store::StoreOutcome::Done(store::StoreReply::Swapped { version }),
@@ -83,7 +83,7 @@
         if let Some(held) = self.contacts.held.take() {
             let key = keys::contact(&self.zone, held.slot);
             let version = held.version;
-            let ask = store::StoreAsk::Remove { key, version };
+            let ask = store::StoreRequest::Remove { key, version };
             self.ask(now, asking::AskPurpose::ReleaseContact, ask, out);
         }
     }
@@ -91,7 +91,7 @@
     fn find_contacts(&mut self, now: time::NodeTime, out: &mut Vec<effect::FleetEffect>) {
         // An answer sets the next time; without one, the loss of the question does.
         self.contacts.find_at = now + contact::FIND_INTERVAL * 2;
-        let ask = store::StoreAsk::List {
+        let ask = store::StoreRequest::List {
             prefix: store::StoreKey::new(keys::CONTACTS),
             after: None,
             limit: LIST_LIMIT,
@@ -148,7 +148,7 @@
         };
         held.renew_at = now + contact::RENEW_INTERVAL;
         let lease = held.lease;
-        let ask = store::StoreAsk::Renew { lease };
+        let ask = store::StoreRequest::Renew { lease };
         self.ask(now, asking::AskPurpose::RenewContact, ask, out);
     }
 
@@ -213,7 +213,7 @@
     /// Begins to take a slot: its entry stands under a lease of its own.
     fn ask_for_slot(&mut self, now: time::NodeTime, slot: u8, out: &mut Vec<effect::FleetEffect>) {
         let lease = contact::CONTACT_LEASE;
-        let ask = store::StoreAsk::Grant { lease };
+        let ask = store::StoreRequest::Grant { lease };
         self.ask(now, asking::AskPurpose::GrantContact { slot }, ask, out);
     }
 
@@ -222,7 +222,7 @@
         now: time::NodeTime,
         slot: u8,
         lease: store::LeaseId,
-        base: store::SwapBase,
+        base: store::SwapCondition,
         out: &mut Vec<effect::FleetEffect>,
     ) {
         let entry = gossip::ContactEntry {
@@ -232,9 +232,9 @@
         let Some(value) = entry.to_value() else {
             return;
         };
-        let ask = store::StoreAsk::Swap {
+        let ask = store::StoreRequest::Swap {
             key: keys::contact(&self.zone, slot),
-            base,
+            condition: base,
             value,
             lease: Some(lease),
         };
@@ -289,7 +289,7 @@
             Some(entry) if entry.node != self.local => self.join_through(entry.udp, out),
             Some(_) => {}
             None => {
-                let base = store::SwapBase::At(current.version);
+                let base = store::SwapCondition::At(current.version);
                 self.take_contact(now, slot, lease, base, out);
             }
         }
@@ -330,7 +330,7 @@
             .filter(|m| m.state.is_live() && m.node != self.local && m.facts.contact.is_some());
         let holders: Vec<_> = holders.map(|m| m.facts.udp).collect();
         for to in holders {
-            self.send(to, gossip::GossipKind::CheckContact, Vec::new(), out);
+            self.send(to, gossip::GossipKind::CheckContactLease, Vec::new(), out);
         }
     }
 
--- a/crates/anvil_membership/src/fleet/counting.rs
+++ b/crates/anvil_membership/src/fleet/counting.rs
@@ -40,7 +40,7 @@
         out: &mut Vec<effect::FleetEffect>,
     ) {
         match message {
-            gossip::CensusMessage::Ask {
+            gossip::CensusMessage::Query {
                 census,
                 revision,
                 first,
@@ -159,7 +159,7 @@
                 continue;
             };
             part.counter = counter;
-            let message = gossip::CensusMessage::Ask {
+            let message = gossip::CensusMessage::Query {
                 census: open.number.wrapping_add(place as u32),
                 revision: open.revision,
                 first: *first,
--- a/crates/anvil_membership/src/fleet/probing.rs
+++ b/crates/anvil_membership/src/fleet/probing.rs
@@ -101,7 +101,7 @@
             gossip::GossipKind::PingRequest { probe, target } => {
                 self.help(now, sender, *probe, *target, out);
             }
-            gossip::GossipKind::Introduce => {
+            gossip::GossipKind::FactsRequest => {
                 let updates = self.claim(self.local).into_iter().collect();
                 self.send(from, gossip::GossipKind::Rumour, updates, out);
             }
@@ -111,12 +111,12 @@
             gossip::GossipKind::Changes { changes } => {
                 self.take_changes(changes, out);
             }
-            gossip::GossipKind::CheckContact => self.check_contact(now),
+            gossip::GossipKind::CheckContactLease => self.check_contact(now),
             gossip::GossipKind::Census(message) => self.on_census(now, from, message, out),
             gossip::GossipKind::Welcome
             | gossip::GossipKind::Rumour
             | gossip::GossipKind::Quota(_)
-            | gossip::GossipKind::Farewell(_) => {}
+            | gossip::GossipKind::Shutdown(_) => {}
         }
         self.greet_stranger(from, message, out);
     }
@@ -129,8 +129,8 @@
         out: &mut Vec<effect::FleetEffect>,
     ) {
         let known = self.table.get(message.head.from).is_some();
-        if !known && message.kind != gossip::GossipKind::Introduce {
-            self.send(from, gossip::GossipKind::Introduce, Vec::new(), out);
+        if !known && message.kind != gossip::GossipKind::FactsRequest {
+            self.send(from, gossip::GossipKind::FactsRequest, Vec::new(), out);
         }
     }
 
--- a/crates/anvil_membership/src/fleet/proposing.rs
+++ b/crates/anvil_membership/src/fleet/proposing.rs
@@ -76,9 +76,9 @@
         }
         match (step, change.to_value()) {
             (proposal::ProposalStep::Write, Some(value)) => {
-                let ask = store::StoreAsk::Swap {
+                let ask = store::StoreRequest::Swap {
                     key,
-                    base: store::SwapBase::Absent,
+                    condition: store::SwapCondition::Absent,
                     value,
                     lease: None,
                 };
@@ -91,7 +91,7 @@
                 self.ask(
                     now,
                     asking::AskPurpose::Resolve,
-                    store::StoreAsk::Get { key },
+                    store::StoreRequest::Get { key },
                     out,
                 );
             }
@@ -129,7 +129,7 @@
             store::StoreOutcome::Unavailable => self.proposal_unavailable(now, out),
             store::StoreOutcome::Conflict { current: None }
             | store::StoreOutcome::Done(_)
-            | store::StoreOutcome::HistoryLost
+            | store::StoreOutcome::HistoryTrimmed
             | store::StoreOutcome::Unknown => {
                 if let Some(open) = &mut self.rules.proposal {
                     open.doubtful = true;
--- a/crates/anvil_membership/src/fleet/rules.rs
+++ b/crates/anvil_membership/src/fleet/rules.rs
@@ -161,7 +161,7 @@
             out.push(effect::FleetEffect::WantSnapshot { wanted });
             return;
         };
-        changes.truncate(gossip::CHANGES_LIMIT);
+        changes.truncate(gossip::MAX_CHANGES);
         let bytes: usize = changes.iter().map(|change| change.body.len() + 32).sum();
         if bytes <= DATAGRAM_BYTES {
             self.send(
@@ -230,7 +230,7 @@
             self.ask(
                 now,
                 asking::AskPurpose::ReadManifest,
-                store::StoreAsk::Get { key },
+                store::StoreRequest::Get { key },
                 out,
             );
         } else if *more {
@@ -309,7 +309,7 @@
         outcome: &store::StoreOutcome,
         out: &mut Vec<effect::FleetEffect>,
     ) {
-        if *outcome == store::StoreOutcome::HistoryLost {
+        if *outcome == store::StoreOutcome::HistoryTrimmed {
             // What was written in the gap can only be read; watching on from the same point would
             // be refused for ever.
             self.rules.watch_at = now;
@@ -411,7 +411,7 @@
         self.rules.read_at = None;
         let held = self.revision();
         if let Some(key) = self.config.document.clone() {
-            let ask = store::StoreAsk::List {
+            let ask = store::StoreRequest::List {
                 prefix: key,
                 after: None,
                 limit: 1,
@@ -419,7 +419,7 @@
             self.ask(now, asking::AskPurpose::ReadLog, ask, out);
             return;
         }
-        let ask = store::StoreAsk::List {
+        let ask = store::StoreRequest::List {
             prefix: store::StoreKey::new(keys::LOG),
             after: (held.0 > 0).then(|| keys::logged(held)),
             limit: spread::READ_LIMIT,
@@ -439,7 +439,7 @@
             Some(key) => (key.clone(), spread::DOCUMENT_LOOK_WAIT),
             None => (store::StoreKey::new(keys::LOG), spread::WATCH_WAIT),
         };
-        let ask = store::StoreAsk::Watch {
+        let ask = store::StoreRequest::Watch {
             prefix,
             seen: self.rules.seen,
             wait,
--- a/crates/anvil_membership/src/fleet/snapshots.rs
+++ b/crates/anvil_membership/src/fleet/snapshots.rs
@@ -22,7 +22,7 @@
             }
             self.snapshot.open = Some(snapshot::SnapshotWrite {
                 step: snapshot::SnapshotStep::Check,
-                base: store::SwapBase::Absent,
+                base: store::SwapCondition::Absent,
                 manifest: None,
                 body: Bytes::new(),
             });
@@ -69,7 +69,7 @@
         let failed = matches!(
             outcome,
             store::StoreOutcome::Unavailable
-                | store::StoreOutcome::HistoryLost
+                | store::StoreOutcome::HistoryTrimmed
                 | store::StoreOutcome::Unknown
         );
         if failed {
@@ -158,7 +158,7 @@
         self.ask(
             now,
             asking::AskPurpose::ReadChunk,
-            store::StoreAsk::Get { key },
+            store::StoreRequest::Get { key },
             out,
         );
     }
@@ -183,7 +183,7 @@
             return;
         };
         let ask = match &open.step {
-            snapshot::SnapshotStep::Check => store::StoreAsk::Get {
+            snapshot::SnapshotStep::Check => store::StoreRequest::Get {
                 key: store::StoreKey::new(keys::MANIFEST),
             },
             snapshot::SnapshotStep::Encode => {
@@ -204,7 +204,7 @@
             snapshot::SnapshotStep::ListChunks { after } => {
                 list_ask(keys::SNAPSHOTS, after.clone(), 1)
             }
-            snapshot::SnapshotStep::Remove { entry, version, .. } => store::StoreAsk::Remove {
+            snapshot::SnapshotStep::Remove { entry, version, .. } => store::StoreRequest::Remove {
                 key: entry.clone(),
                 version: *version,
             },
@@ -256,10 +256,10 @@
         found: Option<store::StoreEntry>,
     ) -> Option<snapshot::SnapshotStep> {
         let Some(entry) = found else {
-            open.base = store::SwapBase::Absent;
+            open.base = store::SwapCondition::Absent;
             return Some(snapshot::SnapshotStep::Encode);
         };
-        open.base = store::SwapBase::At(entry.version);
+        open.base = store::SwapCondition::At(entry.version);
         let current = gossip::SnapshotManifest::from_value(&entry.value)?;
         if open.manifest == Some(current) {
             return Some(snapshot::SnapshotStep::ListLog);
@@ -270,29 +270,29 @@
     }
 }
 
-fn chunk_ask(open: &snapshot::SnapshotWrite, next: u32) -> Option<store::StoreAsk> {
+fn chunk_ask(open: &snapshot::SnapshotWrite, next: u32) -> Option<store::StoreRequest> {
     let manifest = open.manifest?;
     let start = next as usize * spread::CHUNK_BYTES;
     let end = (start + spread::CHUNK_BYTES).min(open.body.len());
-    Some(store::StoreAsk::Swap {
+    Some(store::StoreRequest::Swap {
         key: keys::chunk(manifest.revision, manifest.writer, next),
-        base: store::SwapBase::Absent,
+        condition: store::SwapCondition::Absent,
         value: open.body.slice(start.min(end)..end),
         lease: None,
     })
 }
 
-fn publish_ask(open: &snapshot::SnapshotWrite) -> Option<store::StoreAsk> {
-    Some(store::StoreAsk::Swap {
+fn publish_ask(open: &snapshot::SnapshotWrite) -> Option<store::StoreRequest> {
+    Some(store::StoreRequest::Swap {
         key: store::StoreKey::new(keys::MANIFEST),
-        base: open.base,
+        condition: open.base,
         value: open.manifest?.to_value()?,
         lease: None,
     })
 }
 
-fn list_ask(prefix: &str, after: Option<store::StoreKey>, limit: u32) -> store::StoreAsk {
-    store::StoreAsk::List {
+fn list_ask(prefix: &str, after: Option<store::StoreKey>, limit: u32) -> store::StoreRequest {
+    store::StoreRequest::List {
         prefix: store::StoreKey::new(prefix),
         after,
         limit,
--- a/crates/anvil_membership/src/fleet/syncing.rs
+++ b/crates/anvil_membership/src/fleet/syncing.rs
@@ -334,12 +334,11 @@
     /// claim is answered; it would otherwise send work there until its own probe fails.
     fn ended_since(&self, updates: &[gossip::MemberUpdate]) -> Vec<ident::NodeId> {
         let ended = updates.iter().filter(|update| {
-            let claimed = (update.incarnation, member::claimed_state(&update.standing));
+            let claimed = (update.incarnation, member::claimed_state(&update.status));
             let known = self.table.get(update.node);
             known.is_some_and(|record| !record.state.is_live() && record.rank() > claimed)
         });
-        let claimed_alive =
-            ended.filter(|update| member::claimed_state(&update.standing).is_live());
+        let claimed_alive = ended.filter(|update| member::claimed_state(&update.status).is_live());
         claimed_alive.map(|update| update.node).collect()
     }
 
@@ -353,9 +352,9 @@
         last: bool,
         out: &mut Vec<effect::FleetEffect>,
     ) {
-        let nodes = &nodes[..nodes.len().min(gossip::MEMBERS_LIMIT)];
+        let nodes = &nodes[..nodes.len().min(gossip::MAX_MEMBER_HEADERS)];
         let mut wanted = Some(wanted);
-        let mut parts = nodes.chunks(gossip::BULK_LIMIT).peekable();
+        let mut parts = nodes.chunks(gossip::MAX_BULK_UPDATES).peekable();
         loop {
             let part = parts.next().unwrap_or_default();
             let message = gossip::SyncMessage::Members {
--- a/crates/anvil_membership/src/member.rs
+++ b/crates/anvil_membership/src/member.rs
@@ -24,12 +24,12 @@
 }
 
 /// The state that a claim asserts.
-pub fn claimed_state(standing: &gossip::MemberStanding) -> MemberState {
+pub fn claimed_state(standing: &gossip::MemberStatus) -> MemberState {
     match standing {
-        gossip::MemberStanding::Alive(_) => MemberState::Alive,
-        gossip::MemberStanding::Suspect { .. } => MemberState::Suspect,
-        gossip::MemberStanding::Gone => MemberState::Gone,
-        gossip::MemberStanding::Left => MemberState::Left,
+        gossip::MemberStatus::Alive(_) => MemberState::Alive,
+        gossip::MemberStatus::Suspect { .. } => MemberState::Suspect,
+        gossip::MemberStatus::Dead => MemberState::Gone,
+        gossip::MemberStatus::Left => MemberState::Left,
     }
 }
 
--- a/crates/anvil_membership/src/snapshot.rs
+++ b/crates/anvil_membership/src/snapshot.rs
@@ -49,7 +49,7 @@
     /// What is done next.
     pub step: SnapshotStep,
     /// What must stand at the manifest's key.
-    pub base: store::SwapBase,
+    pub base: store::SwapCondition,
     /// The manifest to publish.
     pub manifest: Option<gossip::SnapshotManifest>,
     /// The encoded rules.
--- a/crates/anvil_membership/src/spread.rs
+++ b/crates/anvil_membership/src/spread.rs
@@ -33,7 +33,7 @@
 pub const LOG_KEPT: u64 = 256;
 
 /// Bytes of one chunk of a snapshot, half of what the store holds in a value.
-pub const CHUNK_BYTES: usize = store::VALUE_LIMIT / 2;
+pub const CHUNK_BYTES: usize = store::MAX_VALUE_BYTES / 2;
 
 /// Most chunks of a snapshot that a reader takes.
 pub const CHUNK_LIMIT: u32 = 32;
--- a/crates/anvil_membership/tests/bounds.rs
+++ b/crates/anvil_membership/tests/bounds.rs
@@ -42,7 +42,7 @@
     gossip::MemberUpdate {
         node: ident::NodeId(node),
         incarnation: 0,
-        standing: gossip::MemberStanding::Alive(Box::new(facts)),
+        status: gossip::MemberStatus::Alive(Box::new(facts)),
     }
 }
 
@@ -75,7 +75,7 @@
     let ended = (10..510).map(|node| gossip::MemberUpdate {
         node: ident::NodeId(node),
         incarnation: 0,
-        standing: gossip::MemberStanding::Gone,
+        status: gossip::MemberStatus::Dead,
     });
     state.on_sync(now, ident::NodeId(2), &members(ended.collect()));
     state.on_wake(now + Duration::from_secs(30));
@@ -96,7 +96,7 @@
         &members(vec![alive(2, "a"), alive(7, "a")]),
     );
     let left = gossip::MemberUpdate {
-        standing: gossip::MemberStanding::Left,
+        status: gossip::MemberStatus::Left,
         ..alive(7, "a")
     };
     state.on_sync(now, ident::NodeId(2), &members(vec![left.clone()]));
@@ -115,11 +115,11 @@
 fn every_message_fits_a_datagram_with_the_longest_names() {
     // A datagram above the limit is dropped by the sealing edge, and with it whatever it told.
     let mut state = node(&config::FleetConfig::default());
-    let long = "n".repeat(name::NAME_LIMIT);
+    let long = "n".repeat(name::MAX_NAME_BYTES);
     let now = time::NodeTime::from_millis(5);
     let updates = (10..60).map(|n| {
         let mut update = alive(u64::MAX - n, &long);
-        if let gossip::MemberStanding::Alive(facts) = &mut update.standing {
+        if let gossip::MemberStatus::Alive(facts) = &mut update.status {
             facts.zone = name::ZoneName::new(&long).expect("a name");
             facts.region = name::RegionName::new(&long).expect("a name");
             facts.tcp = "[2001:db8::1:2:3:4]:65535".parse().expect("an address");
@@ -145,7 +145,7 @@
             }
         }
     }
-    let limit = anvil_wire::seal::datagram::PAYLOAD_LIMIT;
+    let limit = anvil_wire::seal::datagram::MAX_PAYLOAD_BYTES;
     assert!(largest > 500 && largest <= limit, "{largest} bytes");
 }
 
--- a/crates/anvil_membership/tests/harness/mod.rs
+++ b/crates/anvil_membership/tests/harness/mod.rs
@@ -20,7 +20,7 @@
     Wake,
     Datagram(SocketAddr, gossip::GossipMessage),
     Sync(ident::NodeId, gossip::SyncMessage),
-    AtStore(store::StoreId, store::StoreAsk),
+    AtStore(store::StoreId, store::StoreRequest),
     StoreAnswer(store::StoreId, store::StoreOutcome),
     StoreTick,
 }
@@ -90,17 +90,17 @@
     /// Lets an operator write the whole rules under `key`; no node has any part in it.
     pub fn write_rules(&mut self, key: &store::StoreKey, revision: u64) {
         let standing = self.store.entries().find(|entry| entry.key == *key);
-        let base = standing.map_or(store::SwapBase::Absent, |entry| {
-            store::SwapBase::At(entry.version)
+        let base = standing.map_or(store::SwapCondition::Absent, |entry| {
+            store::SwapCondition::At(entry.version)
         });
-        let ask = store::StoreAsk::Swap {
+        let ask = store::StoreRequest::Swap {
             key: key.clone(),
-            base,
+            condition: base,
             value: whole_rules(revision).to_value().expect("it can be encoded"),
             lease: None,
         };
         let nobody = store::StoreId {
-            part: store::StorePart::Keys,
+            requester: store::StoreRequester::Keys,
             sequence: revision,
         };
         let outcome = self.store.carry_out(self.now, (0, nobody), &ask);
@@ -385,7 +385,7 @@
         }
     }
 
-    fn arrive_at_store(&mut self, index: usize, id: store::StoreId, ask: &store::StoreAsk) {
+    fn arrive_at_store(&mut self, index: usize, id: store::StoreId, ask: &store::StoreRequest) {
         let cut = self.store_cut.contains(&self.nodes[index].region);
         let outcome = if cut {
             Some(store::StoreOutcome::Unavailable)
--- a/crates/anvil_membership/tests/hostile.rs
+++ b/crates/anvil_membership/tests/hostile.rs
@@ -81,8 +81,8 @@
             if let Ok(message) = postcard::from_bytes::<gossip::SyncMessage>(bytes) {
                 state.on_sync(now, message.head().from, &message);
             }
-            let part = store::StorePart::Fleet;
-            state.on_store(now, store::StoreId { part, sequence }, outcome(bytes));
+            let part = store::StoreRequester::Fleet;
+            state.on_store(now, store::StoreId { requester: part, sequence }, outcome(bytes));
             state.on_wake(now);
             prop_assert!(state.revision() >= revision);
         }
--- a/crates/anvil_membership/tests/rule_document.rs
+++ b/crates/anvil_membership/tests/rule_document.rs
@@ -142,7 +142,7 @@
     }
 
     /// The next question about the rules, and the time until it is asked.
-    fn next_ask(&mut self) -> (Duration, store::StoreId, store::StoreAsk) {
+    fn next_ask(&mut self) -> (Duration, store::StoreId, store::StoreRequest) {
         let start = self.now;
         loop {
             self.now = self.state.next_wake().expect("it has something due");
@@ -151,8 +151,8 @@
                     continue;
                 };
                 let about = match &ask {
-                    store::StoreAsk::List { prefix, .. }
-                    | store::StoreAsk::Watch { prefix, .. } => *prefix == key(),
+                    store::StoreRequest::List { prefix, .. }
+                    | store::StoreRequest::Watch { prefix, .. } => *prefix == key(),
                     _ => false,
                 };
                 if about {
@@ -191,13 +191,13 @@
 ) {
     let mut node = LoneNode::new();
     let (_, id, ask) = node.next_ask();
-    assert!(matches!(ask, store::StoreAsk::List { .. }));
+    assert!(matches!(ask, store::StoreRequest::List { .. }));
     node.answer(id, listed(2, 40));
     let (_, id, ask) = node.next_ask();
-    assert!(matches!(ask, store::StoreAsk::Watch { .. }));
+    assert!(matches!(ask, store::StoreRequest::Watch { .. }));
     node.answer(id, outcome.clone());
     let (pause, id, ask) = node.next_ask();
-    assert_eq!(matches!(ask, store::StoreAsk::List { .. }), reads_anew);
+    assert_eq!(matches!(ask, store::StoreRequest::List { .. }), reads_anew);
     assert!(least <= pause && pause <= most, "{pause:?}");
     node.answer(id, listed(9, 90));
     assert_eq!(node.state.revision(), ident::RuleRevision(9));
@@ -210,7 +210,7 @@
 test_cases! {
     a_failed_watch_is_followed_by:
     a_read_where_history_is_lost => (
-        &store::StoreOutcome::HistoryLost, true, Duration::ZERO, Duration::from_millis(20)),
+        &store::StoreOutcome::HistoryTrimmed, true, Duration::ZERO, Duration::from_millis(20)),
     a_pause_where_the_answer_is_lost => (
         &store::StoreOutcome::Unknown, false, Duration::from_millis(100), Duration::from_millis(1_500)),
     a_pause_where_the_store_is_down => (
--- a/crates/anvil_membership/tests/store_contacts.rs
+++ b/crates/anvil_membership/tests/store_contacts.rs
@@ -78,14 +78,14 @@
     let zone = name::ZoneName::new("zone-0").unwrap();
     let junk: [&[u8]; 3] = [b"", b"\xff\xfe", b"{\"address\":\"10.0.0.9\"}"];
     for (slot, value) in junk.into_iter().enumerate() {
-        let ask = store::StoreAsk::Swap {
+        let ask = store::StoreRequest::Swap {
             key: keys::contact(&zone, u8::try_from(slot).unwrap()),
-            base: store::SwapBase::Absent,
+            condition: store::SwapCondition::Absent,
             value: bytes::Bytes::copy_from_slice(value),
             lease: None,
         };
         let id = store::StoreId {
-            part: store::StorePart::Fleet,
+            requester: store::StoreRequester::Fleet,
             sequence: 1,
         };
         let outcome = net.store.carry_out(net.now, (usize::MAX, id), &ask);
--- a/crates/anvil_membership/tests/thousand.rs
+++ b/crates/anvil_membership/tests/thousand.rs
@@ -25,7 +25,7 @@
     gossip::MemberUpdate {
         node: harness::id(index),
         incarnation: 0,
-        standing: gossip::MemberStanding::Alive(Box::new(gossip::MemberFacts {
+        status: gossip::MemberStatus::Alive(Box::new(gossip::MemberFacts {
             tcp: harness::address(index),
             udp: harness::address(index),
             zone: name::ZoneName::new(zone).expect("a name"),
@@ -91,7 +91,7 @@
         now = now + Duration::from_millis(50);
         if tick % 10 == 0 && told < MEMBERS {
             let ends = (told..(told + 40).min(MEMBERS)).map(|index| gossip::MemberUpdate {
-                standing: gossip::MemberStanding::Gone,
+                status: gossip::MemberStatus::Dead,
                 ..alive(index)
             });
             let message = datagram(1, gossip::GossipKind::Rumour, ends.collect());
--- a/crates/anvil_node/src/caller/exchange.rs
+++ b/crates/anvil_node/src/caller/exchange.rs
@@ -103,7 +103,7 @@
             }
             Err(_) if reached => {
                 // The process leaves by force while the request may be out.
-                let verdict = verdict::CallVerdict::MayHaveRun(verdict::DoubtReason::Stopped);
+                let verdict = verdict::CallVerdict::MayHaveRun(verdict::UncertaintyReason::Stopped);
                 effect::CallerReply::without_answer(self.label.take(), verdict, None)
             }
             Err(_) => {
--- a/crates/anvil_node/src/caller/framing.rs
+++ b/crates/anvil_node/src/caller/framing.rs
@@ -104,5 +104,5 @@
         return None;
     }
     let length = head::body_length(length)?;
-    (length <= codec::BODY_LIMIT).then_some(length)
+    (length <= codec::MAX_BODY_BYTES).then_some(length)
 }
--- a/crates/anvil_node/src/caller/intake.rs
+++ b/crates/anvil_node/src/caller/intake.rs
@@ -32,10 +32,10 @@
     }
     // A stated length above the limit is refused before a byte of the body is read.
     let stated = body.size_hint().lower();
-    if stated > codec::BODY_LIMIT as u64 {
+    if stated > codec::MAX_BODY_BYTES as u64 {
         return Err(caller::IntakeRefusal::BodyOversized);
     }
-    let limited = Limited::new(body, codec::BODY_LIMIT);
+    let limited = Limited::new(body, codec::MAX_BODY_BYTES);
     let Ok(collected) = tokio::time::timeout(patience, limited.collect()).await else {
         return Err(caller::IntakeRefusal::BodySlow);
     };
--- a/crates/anvil_node/src/caller/native.rs
+++ b/crates/anvil_node/src/caller/native.rs
@@ -28,11 +28,11 @@
         read_head(head, &self.mint)
     }
 
-    fn refused(&self, refusal: &IntakeRefusal) -> caller::WholeResponse {
+    fn refused(&self, refusal: &IntakeRefusal) -> caller::FullResponse {
         reply::refused(&problem_of(refusal), None, Some(refusal.to_string()))
     }
 
-    fn reply(&self, reply: effect::CallerReply) -> caller::WholeResponse {
+    fn reply(&self, reply: effect::CallerReply) -> caller::FullResponse {
         reply::response(reply)
     }
 }
--- a/crates/anvil_node/src/caller/problem.rs
+++ b/crates/anvil_node/src/caller/problem.rs
@@ -72,7 +72,7 @@
 }
 
 /// How a doubt shows: nobody can tell whether the request ran.
-pub fn doubt(reason: verdict::DoubtReason) -> ProblemKind {
+pub fn doubt(reason: verdict::UncertaintyReason) -> ProblemKind {
     let (status, title) = doubt_status(reason);
     ProblemKind {
         status,
@@ -116,8 +116,8 @@
     }
 }
 
-fn doubt_status(reason: verdict::DoubtReason) -> (StatusCode, &'static str) {
-    use verdict::DoubtReason as Reason;
+fn doubt_status(reason: verdict::UncertaintyReason) -> (StatusCode, &'static str) {
+    use verdict::UncertaintyReason as Reason;
     match reason {
         Reason::ConnectionLost => (broken(), "the connection to the target broke"),
         Reason::Deadline => (late(), "the deadline passed while the request was out"),
--- a/crates/anvil_node/src/caller/reply.rs
+++ b/crates/anvil_node/src/caller/reply.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use anvil_core::effect;
-use anvil_edge::caller::WholeResponse;
+use anvil_edge::caller::FullResponse;
 use anvil_edge::hops;
 use anvil_types::{ident, verdict};
 use anvil_wire::call;
@@ -14,7 +14,7 @@
 use super::{header, problem};
 
 /// Builds the response of a reply; `head_only` says that the caller asked by HEAD.
-pub fn response(reply: effect::CallerReply) -> WholeResponse {
+pub fn response(reply: effect::CallerReply) -> FullResponse {
     let effect::CallerReply {
         verdict,
         answer,
@@ -28,7 +28,7 @@
         (verdict::CallVerdict::Answered, Some(answer)) => answered(answer),
         (verdict::CallVerdict::Answered, None) => {
             // An answer without its content is an answer cut off; it must not show as success.
-            let kind = problem::doubt(verdict::DoubtReason::AnswerCut);
+            let kind = problem::doubt(verdict::UncertaintyReason::AnswerCut);
             refused(&kind, retry_after, None)
         }
         (verdict::CallVerdict::NotRun(reason), _) => {
@@ -54,7 +54,7 @@
     kind: &problem::ProblemKind,
     retry_after: Option<Duration>,
     detail: Option<String>,
-) -> WholeResponse {
+) -> FullResponse {
     let mut body = problem::ProblemBody::new(kind, retry_after);
     body.detail = detail;
     let text = serde_json::to_vec(&body).unwrap_or_default();
@@ -74,7 +74,7 @@
     response
 }
 
-fn answered(answer: call::CallAnswer) -> WholeResponse {
+fn answered(answer: call::CallAnswer) -> FullResponse {
     let mut response = Response::new(Full::new(answer.body));
     let status = StatusCode::from_u16(answer.status);
     *response.status_mut() = status.unwrap_or(StatusCode::BAD_GATEWAY);
--- a/crates/anvil_node/src/caller/server.rs
+++ b/crates/anvil_node/src/caller/server.rs
@@ -27,7 +27,7 @@
       anvil-outcome: not-run\r\n\r\n";
 
 /// Most bytes read and dropped behind a refused request: twice the largest body.
-const REST_BYTES: u64 = 2 * codec::BODY_LIMIT as u64;
+const REST_BYTES: u64 = 2 * codec::MAX_BODY_BYTES as u64;
 
 /// Longest wait for them.
 const REST_WAIT: Duration = Duration::from_millis(1_000);
@@ -219,7 +219,7 @@
     edge: &Arc<CallerEdge>,
     pipeline: &pipeline::RequestPipeline,
     request: Request<Incoming>,
-) -> caller::WholeResponse {
+) -> caller::FullResponse {
     match admit(edge, pipeline, request).await {
         Ok(response) => response,
         Err(refusal) => {
@@ -233,7 +233,7 @@
     edge: &Arc<CallerEdge>,
     pipeline: &pipeline::RequestPipeline,
     request: Request<Incoming>,
-) -> Result<caller::WholeResponse, caller::IntakeRefusal> {
+) -> Result<caller::FullResponse, caller::IntakeRefusal> {
     let (head, body) = request.into_parts();
     let mut call = edge.dialect.read_head(&head)?;
     call.request.body = intake::read_body(body, edge.limits.body_wait).await?;
@@ -248,15 +248,15 @@
     Ok(edge.dialect.reply(started.reply(edge).await))
 }
 
-fn refuse(edge: &CallerEdge, refusal: &caller::IntakeRefusal) -> caller::WholeResponse {
+fn refuse(edge: &CallerEdge, refusal: &caller::IntakeRefusal) -> caller::FullResponse {
     let mut response = edge.dialect.refused(refusal);
-    if refusal.leaves_body() {
+    if refusal.leaves_unread_body() {
         say_close(&mut response);
     }
     response
 }
 
-fn say_close(response: &mut caller::WholeResponse) {
+fn say_close(response: &mut caller::FullResponse) {
     let close = HeaderValue::from_static("close");
     response.headers_mut().insert(names::CONNECTION, close);
 }
--- a/crates/anvil_node/src/control.rs
+++ b/crates/anvil_node/src/control.rs
@@ -103,7 +103,7 @@
                 let ready = self.ready.load(Ordering::Relaxed);
                 return Ok(control::ControlOutcome::Ready(ready));
             }
-            control::ControlCall::Tell(event) => event,
+            control::ControlCall::Notify(event) => event,
         };
         // The acknowledgement binds: from it on, the target gets nothing that it said it won't
         // take. So it is given only once the reducer has taken the event in.
@@ -112,6 +112,6 @@
         if self.engine.send_async(input).await.is_err() || done.await.is_err() {
             return Err(control::ControlRefusal::Leaving);
         }
-        Ok(control::ControlOutcome::Taken)
+        Ok(control::ControlOutcome::Accepted)
     }
 }
--- a/crates/anvil_node/src/datagram.rs
+++ b/crates/anvil_node/src/datagram.rs
@@ -54,7 +54,7 @@
     counters: counters::EdgeCounters,
 ) {
     // One byte more than the limit, so that a cut datagram is seen as too long.
-    let mut buffer = [0; datagram::DATAGRAM_LIMIT + 1];
+    let mut buffer = [0; datagram::MAX_DATAGRAM_BYTES + 1];
     loop {
         let Ok((length, from)) = socket.recv_from(&mut buffer).await else {
             continue;
--- a/crates/anvil_node/src/peer/link.rs
+++ b/crates/anvil_node/src/peer/link.rs
@@ -8,7 +8,7 @@
 use anvil_core::event;
 use anvil_types::ident;
 use anvil_wire::seal::{ring, stream as sealing};
-use anvil_wire::{codec, fate, frame, pack};
+use anvil_wire::{codec, compression, frame, outcome};
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
@@ -188,7 +188,7 @@
         peer,
         pulse,
         writer,
-        packer: pack::FramePacker::default(),
+        packer: compression::FrameCompressor::default(),
         sealer: sealed.sealer,
         batch: Vec::new(),
         used: false,
@@ -213,7 +213,7 @@
     peer: ident::NodeId,
     pulse: Arc<pulse::LinkPulse>,
     writer: OwnedWriteHalf,
-    packer: pack::FramePacker,
+    packer: compression::FrameCompressor,
     sealer: sealing::FrameSealer,
     batch: Vec<u8>,
     /// Whether a byte of any frame was handed to the socket.
@@ -397,7 +397,7 @@
                 .count(counters::EdgeCause::PeerFrameOversized);
             return;
         };
-        let mut bytes = self.packer.pack(encoded);
+        let mut bytes = self.packer.compress(encoded);
         self.sealer.seal(&mut bytes);
         if self.batch.is_empty() {
             self.batch = bytes;
@@ -411,10 +411,10 @@
 fn answers_due(frame: &frame::PeerFrame) -> usize {
     match frame {
         frame::PeerFrame::Call(_) => 1,
-        frame::PeerFrame::Fate(message) => match &**message {
-            fate::FateMessage::Ask { attempts, .. } => attempts.len(),
-            fate::FateMessage::Leaving { .. } => 1,
-            fate::FateMessage::Held { .. } => 0,
+        frame::PeerFrame::Outcome(message) => match &**message {
+            outcome::OutcomeMessage::Query { attempts, .. } => attempts.len(),
+            outcome::OutcomeMessage::Leaving { .. } => 1,
+            outcome::OutcomeMessage::Pending { .. } => 0,
         },
         _ => 0,
     }
--- a/crates/anvil_node/src/peer/stream.rs
+++ b/crates/anvil_node/src/peer/stream.rs
@@ -1,7 +1,7 @@
 //! Frames on a byte stream.
 
 use anvil_wire::seal::{self, stream};
-use anvil_wire::{codec, frame, pack};
+use anvil_wire::{codec, compression, frame};
 use bytes::{Buf, BytesMut};
 use derive_more::{Display, Error, From};
 use tokio::io::{AsyncRead, AsyncReadExt};
@@ -53,7 +53,7 @@
 pub struct FrameReader<R> {
     reader: R,
     opener: stream::FrameOpener,
-    unpacker: pack::FrameUnpacker,
+    unpacker: compression::FrameDecompressor,
     buffer: BytesMut,
 }
 
@@ -67,7 +67,7 @@
         Self {
             reader,
             opener,
-            unpacker: pack::FrameUnpacker::default(),
+            unpacker: compression::FrameDecompressor::default(),
             buffer,
         }
     }
@@ -85,7 +85,7 @@
         let bytes = self.buffer.split_to(sealed);
         // The seal is checked before a byte is decoded, so only key holders reach the decoder.
         let frame = self.opener.open(&bytes)?;
-        let plain = self.unpacker.unpack(frame)?;
+        let plain = self.unpacker.decompress(frame)?;
         Ok(codec::decode_frame(&plain)?)
     }
 
--- a/crates/anvil_node/src/peer/table.rs
+++ b/crates/anvil_node/src/peer/table.rs
@@ -194,7 +194,7 @@
 ) -> Vec<event::NodeEvent> {
     let mut events = Vec::new();
     if lost {
-        unsent.retain(|frame| !matches!(frame, frame::PeerFrame::Fate(_)));
+        unsent.retain(|frame| !matches!(frame, frame::PeerFrame::Outcome(_)));
     }
     if !lost || !unsent.is_empty() {
         events.push(event::NodeEvent::PeerUnreachable { peer, unsent });
--- a/crates/anvil_node/src/store.rs
+++ b/crates/anvil_node/src/store.rs
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug)]
 struct StoreQuestion {
     id: store::StoreId,
-    ask: store::StoreAsk,
+    ask: store::StoreRequest,
 }
 
 /// Hands questions to the store's threads; owned by the reducer's task.
@@ -94,9 +94,9 @@
     }
 
     /// Asks; where the question can't wait in the queue, its answer comes back at once.
-    pub fn ask(&self, id: store::StoreId, ask: store::StoreAsk) -> Option<event::NodeEvent> {
+    pub fn ask(&self, id: store::StoreId, ask: store::StoreRequest) -> Option<event::NodeEvent> {
         let queue = match ask {
-            store::StoreAsk::Watch { .. } => &self.watches,
+            store::StoreRequest::Watch { .. } => &self.watches,
             _ => &self.calls,
         };
         let refused = queue.try_send(StoreQuestion { id, ask }).is_err();
@@ -125,7 +125,7 @@
 
     fn carry_out(&self, question: &StoreQuestion) -> store::StoreOutcome {
         let now = self.clock.now();
-        let part = question.id.part;
+        let part = question.id.requester;
         if self.budget(part).begin(now).is_err() {
             return store::StoreOutcome::Unavailable;
         }
@@ -134,10 +134,10 @@
         outcome
     }
 
-    fn budget(&self, part: store::StorePart) -> std::sync::MutexGuard<'_, budget::CallBudget> {
+    fn budget(&self, part: store::StoreRequester) -> std::sync::MutexGuard<'_, budget::CallBudget> {
         let budget = match part {
-            store::StorePart::Fleet => &self.budget,
-            store::StorePart::Keys => &self.key_budget,
+            store::StoreRequester::Fleet => &self.budget,
+            store::StoreRequester::Keys => &self.key_budget,
         };
         budget.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/anvil_node/src/target/exchange.rs
+++ b/crates/anvil_node/src/target/exchange.rs
@@ -158,7 +158,7 @@
         loop {
             let answer = self.read_one(run, reader).await;
             let mut answer = answer.map_err(|fault| self.lost(&fault, reader.has_begun()))?;
-            if answer.meaning != target::AnswerMeaning::Stray {
+            if answer.meaning != target::AnswerMeaning::Unrelated {
                 if strays > 0 {
                     answer.keeping = message::KeepOpen::No;
                 }
@@ -180,9 +180,9 @@
         R: tokio::io::AsyncRead + Unpin,
     {
         let head = reader.head(&run.request.method).await?;
-        let meaning = self.dialect.judge(run, &head.parts);
-        let open_end = self.dialect.open_end();
-        let body = reader.body(head.framing, open_end, codec::BODY_LIMIT);
+        let meaning = self.dialect.classify(run, &head.parts);
+        let open_end = self.dialect.close_meaning();
+        let body = reader.body(head.framing, open_end, codec::MAX_BODY_BYTES);
         Ok(ReadAnswer {
             parts: head.parts,
             meaning,
@@ -222,7 +222,7 @@
             target::AnswerMeaning::Misdirected { holder } => {
                 return event::RunOutcome::Misdirected { holder };
             }
-            target::AnswerMeaning::Stray | target::AnswerMeaning::Spoilt => {
+            target::AnswerMeaning::Unrelated | target::AnswerMeaning::Invalid => {
                 return event::RunOutcome::Broken { in_answer: true };
             }
         }
@@ -230,7 +230,7 @@
         let head = answer.parts;
         let not_modified = head.status == http::StatusCode::NOT_MODIFIED;
         let bodiless = run.request.method == "HEAD" || not_modified;
-        let keeps_back = |name: &str| self.dialect.keeps_back(name);
+        let keeps_back = |name: &str| self.dialect.is_internal_header(name);
         event::RunOutcome::Whole(call::CallAnswer {
             status: head.status.as_u16(),
             headers: hops::answer_lines(&head.headers, bodiless, keeps_back),
--- a/crates/anvil_node/src/target/message.rs
+++ b/crates/anvil_node/src/target/message.rs
@@ -131,7 +131,7 @@
     pub async fn body(
         &mut self,
         framing: BodyFraming,
-        open_end: target::OpenEnd,
+        open_end: target::CloseMeaning,
         limit: usize,
     ) -> Result<Bytes, AnswerFault> {
         match framing {
@@ -142,7 +142,7 @@
                 Ok(self.buffer.split_to(length).freeze())
             }
             BodyFraming::Chunked => self.chunks(limit).await,
-            BodyFraming::UntilClose if open_end == target::OpenEnd::Cut => {
+            BodyFraming::UntilClose if open_end == target::CloseMeaning::Truncated => {
                 Err(AnswerFault::OpenEnded)
             }
             BodyFraming::UntilClose => self.until_close(limit).await,
--- a/crates/anvil_node/src/target/native.rs
+++ b/crates/anvil_node/src/target/native.rs
@@ -38,7 +38,7 @@
         Some(built)
     }
 
-    fn judge(&self, _: &effect::RunOrder, head: &response::Parts) -> target::AnswerMeaning {
+    fn classify(&self, _: &effect::RunOrder, head: &response::Parts) -> target::AnswerMeaning {
         let marked = head.headers.get(header::NOT_RUN);
         let refused = head.status == http::StatusCode::SERVICE_UNAVAILABLE
             && marked.is_some_and(|mark| mark == "1");
@@ -48,11 +48,11 @@
         }
     }
 
-    fn open_end(&self) -> target::OpenEnd {
-        target::OpenEnd::Cut
+    fn close_meaning(&self) -> target::CloseMeaning {
+        target::CloseMeaning::Truncated
     }
 
-    fn keeps_back(&self, name: &str) -> bool {
+    fn is_internal_header(&self, name: &str) -> bool {
         header::is_own(name)
     }
 }
--- a/crates/anvil_node/tests/common/impostor.rs
+++ b/crates/anvil_node/tests/common/impostor.rs
@@ -6,7 +6,7 @@
 
 use anvil_types::{ident, name, verdict};
 use anvil_wire::seal::{datagram, handshake, ring, stream};
-use anvil_wire::{call, codec, fate, frame, gossip, pack};
+use anvil_wire::{call, codec, compression, frame, gossip, outcome};
 use bytes::Bytes;
 
 /// Its identity.
@@ -16,7 +16,7 @@
 pub struct Impostor {
     pub socket: TcpStream,
     sealed: stream::SealedStream,
-    unpacker: pack::FrameUnpacker,
+    unpacker: compression::FrameDecompressor,
 }
 
 /// The key of the tests, or another one where `twist` is not zero.
@@ -65,7 +65,7 @@
         updates: vec![gossip::MemberUpdate {
             node: NODE,
             incarnation: 1,
-            standing: gossip::MemberStanding::Alive(Box::new(facts)),
+            status: gossip::MemberStatus::Alive(Box::new(facts)),
         }],
     };
     let payload = postcard::to_stdvec(&message).unwrap();
@@ -99,7 +99,7 @@
         Self {
             socket,
             sealed,
-            unpacker: pack::FrameUnpacker::default(),
+            unpacker: compression::FrameDecompressor::default(),
         }
     }
 
@@ -118,7 +118,7 @@
         Self {
             socket,
             sealed,
-            unpacker: pack::FrameUnpacker::default(),
+            unpacker: compression::FrameDecompressor::default(),
         }
     }
 
@@ -144,7 +144,7 @@
         let mut bytes = vec![0; stream::FrameOpener::sealed_length(length)];
         self.socket.read_exact(&mut bytes).unwrap();
         let opened = self.sealed.opener.open(&bytes).unwrap();
-        let plain = self.unpacker.unpack(opened).unwrap();
+        let plain = self.unpacker.decompress(opened).unwrap();
         codec::decode_frame(&plain).unwrap()
     }
 
@@ -203,10 +203,10 @@
     }
 
     /// The attempts whose fate the node asks for; frames before the question are skipped.
-    pub fn receive_asked(&mut self) -> Vec<fate::AskedAttempt> {
+    pub fn receive_asked(&mut self) -> Vec<outcome::QueriedAttempt> {
         loop {
-            if let frame::PeerFrame::Fate(message) = self.receive()
-                && let fate::FateMessage::Ask { attempts, .. } = *message
+            if let frame::PeerFrame::Outcome(message) = self.receive()
+                && let outcome::OutcomeMessage::Query { attempts, .. } = *message
             {
                 return attempts;
             }
--- a/crates/anvil_node/tests/pass_through.rs
+++ b/crates/anvil_node/tests/pass_through.rs
@@ -88,7 +88,7 @@
     size_passes:
     one_byte => (1),
     a_megabyte => (1024 * 1024),
-    the_limit => (codec::BODY_LIMIT),
+    the_limit => (codec::MAX_BODY_BYTES),
 }
 
 #[test]
--- a/crates/anvil_node/tests/peer_faults.rs
+++ b/crates/anvil_node/tests/peer_faults.rs
@@ -28,7 +28,7 @@
         context: context::CallContext {
             request: ident::RequestId(u128::from(sequence)),
             class: context::PriorityClass::Normal,
-            by_rule: None,
+            rule_class: None,
             lane: context::LaneHash(0),
             remaining_micros: 60_000_000,
             retries_left: 0,
@@ -36,10 +36,10 @@
             idempotent: true,
             repeat: false,
             key: None,
-            print: ident::PrintHash(sequence),
+            fingerprint: ident::RequestFingerprint(sequence),
         },
         treatment: treatment::RuleTreatment::default(),
-        mark: treatment::RuleMark::default(),
+        rule: treatment::RuleReference::default(),
         label: None,
         request: call::CallRequest {
             service: name::ServiceName::new(common::SERVICE).unwrap(),
--- a/crates/anvil_node/tests/peer_table.rs
+++ b/crates/anvil_node/tests/peer_table.rs
@@ -11,7 +11,7 @@
 use anvil_node::caller::server;
 use anvil_node::counters;
 use anvil_node::peer::{link, table};
-use anvil_wire::{fate, frame};
+use anvil_wire::{frame, outcome};
 use common::impostor;
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch};
@@ -85,11 +85,11 @@
 
     /// Asks what became of the calls; tells whether a new connection is opened for it.
     async fn asks_on_a_new_one(&mut self) -> bool {
-        let message = fate::FateMessage::Ask {
+        let message = outcome::OutcomeMessage::Query {
             reply_to: self.address(),
             attempts: Vec::new(),
         };
-        let ask = frame::PeerFrame::Fate(Box::new(message));
+        let ask = frame::PeerFrame::Outcome(Box::new(message));
         let address = self.address();
         assert!(self.table.send(impostor::NODE, address, ask).is_none());
         let on_spare = self.parts[1].waiting() > 0;
--- a/crates/anvil_once/src/effect.rs
+++ b/crates/anvil_once/src/effect.rs
@@ -33,7 +33,7 @@
     /// This call did not run and will not.
     NotRun(verdict::RefusalReason),
     /// An earlier copy may have run.
-    MayHaveRun(verdict::DoubtReason),
+    MayHaveRun(verdict::UncertaintyReason),
 }
 
 /// Everything that the key owners of a node want done.
--- a/crates/anvil_once/src/entry.rs
+++ b/crates/anvil_once/src/entry.rs
@@ -15,7 +15,7 @@
     /// The key.
     pub(crate) key: ident::RequestKey,
     /// The digest of the request.
-    pub(crate) print: ident::PrintHash,
+    pub(crate) print: ident::RequestFingerprint,
 }
 
 /// How far a call of this node has come with its key.
@@ -300,7 +300,7 @@
         call: ident::CallId,
         key: ident::RequestKey,
     ) {
-        let outcome = key::KeyOutcome::MayHaveRun(verdict::DoubtReason::RecordLost);
+        let outcome = key::KeyOutcome::MayHaveRun(verdict::UncertaintyReason::RecordLost);
         self.send(from, key::KeyMessage::Settle { call, key, outcome });
     }
 
@@ -342,7 +342,14 @@
     fn send_ask(&mut self, now: time::NodeTime, at: usize) {
         let KeyQuestion { call, key, print } = self.asks[at].question;
         let target = self.aim(now, at);
-        self.send(target, key::KeyMessage::Ask { call, key, print });
+        self.send(
+            target,
+            key::KeyMessage::Request {
+                call,
+                key,
+                fingerprint: print,
+            },
+        );
     }
 
     fn send_outcome(&mut self, now: time::NodeTime, at: usize) {
--- a/crates/anvil_once/src/event.rs
+++ b/crates/anvil_once/src/event.rs
@@ -31,7 +31,7 @@
     /// Proved not to have run; no attempt is out or will follow.
     NotRun,
     /// Nobody can tell.
-    MayHaveRun(verdict::DoubtReason),
+    MayHaveRun(verdict::UncertaintyReason),
 }
 
 /// Everything that can happen to the key owners of a node.
@@ -44,7 +44,7 @@
         /// The key.
         key: ident::RequestKey,
         /// The digest of the request.
-        print: ident::PrintHash,
+        print: ident::RequestFingerprint,
         /// How long an answer is waited for.
         wait: Duration,
     },
--- a/crates/anvil_once/src/grant.rs
+++ b/crates/anvil_once/src/grant.rs
@@ -67,7 +67,7 @@
         // run under them: granting it would run it twice. It is granted once the longest call and
         // the retention have passed.
         if doubt && self.policy.guards.lost_keys_refused {
-            let reason = verdict::DoubtReason::RecordLost;
+            let reason = verdict::UncertaintyReason::RecordLost;
             return AskJudgement::Refuse(key::KeyRefusal::MayHaveRun(reason));
         }
         if full {
@@ -119,19 +119,19 @@
             key::RecordState::Held => key::KeyRefusal::MayHaveRun(self.doubt_of(now, entry)),
             key::RecordState::Answered(Some(answer)) => key::KeyRefusal::Answered(answer.clone()),
             key::RecordState::Answered(None) => key::KeyRefusal::MayHaveRun(table::ANSWER_GONE),
-            key::RecordState::Doubtful(reason) => key::KeyRefusal::MayHaveRun(*reason),
+            key::RecordState::Uncertain(reason) => key::KeyRefusal::MayHaveRun(*reason),
         };
         AskJudgement::Refuse(refusal)
     }
 
-    fn doubt_of(&self, now: time::NodeTime, entry: &table::KeyEntry) -> verdict::DoubtReason {
+    fn doubt_of(&self, now: time::NodeTime, entry: &table::KeyEntry) -> verdict::UncertaintyReason {
         if self.is_missing(now, entry.call.node, Duration::ZERO) {
-            return verdict::DoubtReason::NodeLost;
+            return verdict::UncertaintyReason::NodeLost;
         }
         if now.since(entry.recorded) >= self.policy.longest_call {
-            return verdict::DoubtReason::Deadline;
+            return verdict::UncertaintyReason::Deadline;
         }
-        verdict::DoubtReason::InProgress
+        verdict::UncertaintyReason::InProgress
     }
 
     /// What a node that is not the primary answers.
@@ -251,7 +251,7 @@
     fn refuse(&mut self, call: ident::CallId, refusal: key::KeyRefusal) {
         let counter = match &refusal {
             key::KeyRefusal::Answered(_) => &mut self.counters.answered_again,
-            key::KeyRefusal::MayHaveRun(verdict::DoubtReason::InProgress) => {
+            key::KeyRefusal::MayHaveRun(verdict::UncertaintyReason::InProgress) => {
                 &mut self.counters.in_progress
             }
             key::KeyRefusal::MayHaveRun(_) => &mut self.counters.doubtful,
--- a/crates/anvil_once/src/handover.rs
+++ b/crates/anvil_once/src/handover.rs
@@ -125,7 +125,7 @@
             part: copy.part,
             last: copy.last,
             records: entries.map(|entry| entry.to_record(now)).collect(),
-            doubt_micros: u64::try_from(doubt.as_micros()).unwrap_or(u64::MAX),
+            uncertain_micros: u64::try_from(doubt.as_micros()).unwrap_or(u64::MAX),
         };
         self.send(backup, message);
     }
--- a/crates/anvil_once/src/owner.rs
+++ b/crates/anvil_once/src/owner.rs
@@ -154,7 +154,11 @@
 
     fn receive(&mut self, now: time::NodeTime, from: ident::NodeId, message: key::KeyMessage) {
         match message {
-            key::KeyMessage::Ask { call, key, print } => {
+            key::KeyMessage::Request {
+                call,
+                key,
+                fingerprint: print,
+            } => {
                 self.answer_ask(now, from, entry::KeyQuestion { call, key, print });
             }
             key::KeyMessage::Grant { call, key } => self.take_grant(now, from, call, key),
@@ -182,7 +186,7 @@
                 part,
                 last,
                 records,
-                doubt_micros,
+                uncertain_micros: doubt_micros,
             } => {
                 self.learn(now, view, None);
                 let doubt = Duration::from_micros(doubt_micros);
--- a/crates/anvil_once/src/table.rs
+++ b/crates/anvil_once/src/table.rs
@@ -18,7 +18,7 @@
     /// The key.
     pub key: ident::RequestKey,
     /// The digest of the request.
-    pub print: ident::PrintHash,
+    pub print: ident::RequestFingerprint,
     /// The only call that may ever run the key.
     pub call: ident::CallId,
     /// The order of the last change.
@@ -35,7 +35,7 @@
         let age = now.since(self.recorded).as_micros();
         key::KeyRecord {
             key: self.key,
-            print: self.print,
+            fingerprint: self.print,
             call: self.call,
             order: self.order,
             age_micros: u64::try_from(age).unwrap_or(u64::MAX),
@@ -46,7 +46,7 @@
     fn from_record(now: time::NodeTime, record: key::KeyRecord) -> Self {
         Self {
             key: record.key,
-            print: record.print,
+            print: record.fingerprint,
             call: record.call,
             order: record.order,
             recorded: time::NodeTime(now.0.saturating_sub(record.age_micros)),
@@ -231,7 +231,7 @@
 pub fn state_after(outcome: &key::KeyOutcome, answer_limit: usize) -> Option<key::RecordState> {
     match outcome {
         key::KeyOutcome::NotRun => None,
-        key::KeyOutcome::MayHaveRun(reason) => Some(key::RecordState::Doubtful(*reason)),
+        key::KeyOutcome::MayHaveRun(reason) => Some(key::RecordState::Uncertain(*reason)),
         key::KeyOutcome::Answered(answer) => {
             let kept = answer
                 .as_deref()
@@ -242,7 +242,7 @@
 }
 
 /// What a duplicate of a recorded request is told where the holder's answer is not kept.
-pub const ANSWER_GONE: verdict::DoubtReason = verdict::DoubtReason::RecordLost;
+pub const ANSWER_GONE: verdict::UncertaintyReason = verdict::UncertaintyReason::RecordLost;
 
 fn answer_size(answer: &call::CallAnswer) -> usize {
     let line = |line: &call::HeaderLine| line.name.len() + line.value.len();
--- a/crates/anvil_once/tests/pair.rs
+++ b/crates/anvil_once/tests/pair.rs
@@ -71,7 +71,7 @@
         let ask = event::KeyEvent::Ask {
             call,
             key: ident::RequestKey(key),
-            print: ident::PrintHash(print),
+            print: ident::RequestFingerprint(print),
             wait: Duration::from_secs(2),
         };
         self.step(node, ask);
@@ -287,7 +287,7 @@
     let ask = event::KeyEvent::Ask {
         call,
         key: ident::RequestKey(key_of_slot(1)),
-        print: ident::PrintHash(1),
+        print: ident::RequestFingerprint(1),
         wait: Duration::from_secs(2),
     };
     pair.step(ENTRY, ask);
--- a/crates/anvil_once/tests/support/world.rs
+++ b/crates/anvil_once/tests/support/world.rs
@@ -376,7 +376,7 @@
         let ask = event::KeyEvent::Ask {
             call,
             key: KEY,
-            print: ident::PrintHash(7),
+            print: ident::RequestFingerprint(7),
             wait: Duration::from_secs(5),
         };
         self.step(node, ask);
--- a/crates/anvil_once/tests/table.rs
+++ b/crates/anvil_once/tests/table.rs
@@ -36,7 +36,7 @@
 fn record(key: u8, order: u64) -> key::KeyRecord {
     key::KeyRecord {
         key: wide(key),
-        print: ident::PrintHash(1),
+        fingerprint: ident::RequestFingerprint(1),
         call: ident::CallId {
             node: ident::NodeId(1),
             sequence: order,
--- a/crates/anvil_overload/src/quarantine.rs
+++ b/crates/anvil_overload/src/quarantine.rs
@@ -29,23 +29,23 @@
 /// Prints that were answered whole lately.
 #[derive(Clone, Debug, Default)]
 struct ProvedPrints {
-    kept: Vec<Option<(ident::PrintHash, time::NodeTime)>>,
+    kept: Vec<Option<(ident::RequestFingerprint, time::NodeTime)>>,
 }
 
 impl ProvedPrints {
-    fn note(&mut self, now: time::NodeTime, print: ident::PrintHash) {
+    fn note(&mut self, now: time::NodeTime, print: ident::RequestFingerprint) {
         self.kept.resize(PROVED_KEPT, None);
         self.kept[place_of(print)] = Some((print, now));
     }
 
     /// Whether `print` was answered whole within [`SUSPECT_SPAN`].
-    fn holds(&self, now: time::NodeTime, print: ident::PrintHash) -> bool {
+    fn holds(&self, now: time::NodeTime, print: ident::RequestFingerprint) -> bool {
         let kept = self.kept.get(place_of(print)).copied().flatten();
         kept.is_some_and(|(known, at)| known == print && now.since(at) < SUSPECT_SPAN)
     }
 }
 
-fn place_of(print: ident::PrintHash) -> usize {
+fn place_of(print: ident::RequestFingerprint) -> usize {
     usize::from(print.0.to_le_bytes()[0])
 }
 
@@ -79,7 +79,7 @@
 #[derive(Clone, Copy, Debug, Serialize)]
 struct RunningPrint {
     run: u64,
-    print: ident::PrintHash,
+    print: ident::RequestFingerprint,
     rule: CrashRule,
 }
 
@@ -93,13 +93,13 @@
 
 #[derive(Clone, Copy, Debug, Serialize)]
 struct SuspectPrint {
-    print: ident::PrintHash,
+    print: ident::RequestFingerprint,
     strikes: u8,
     alone: bool,
     rule: CrashRule,
     struck: time::NodeTime,
     /// The crash of the last strike.
-    crash: suspicion::CrashMark,
+    crash: suspicion::CrashId,
 }
 
 impl SuspectPrint {
@@ -135,7 +135,7 @@
     running: Vec<RunningPrint>,
     /// Sorted by print.
     suspects: Vec<SuspectPrint>,
-    marks: VecDeque<suspicion::CrashMark>,
+    marks: VecDeque<suspicion::CrashId>,
     #[serde(skip)]
     proved: ProvedPrints,
     #[serde(skip)]
@@ -163,7 +163,7 @@
     /// for was out at each of them. Symptom: it is refused everywhere for the time of the quarantine. A
     /// request that crashes its targets is never answered, so one that was answered whole within a
     /// minute is not refused; it stays a suspect and runs apart from others.
-    pub fn standing(&self, now: time::NodeTime, print: ident::PrintHash) -> PrintStanding {
+    pub fn standing(&self, now: time::NodeTime, print: ident::RequestFingerprint) -> PrintStanding {
         let Some(suspect) = self.find(print) else {
             return PrintStanding::Clean;
         };
@@ -182,7 +182,7 @@
     }
 
     /// Notes a run that starts at the local target.
-    pub fn started(&mut self, run: u64, print: ident::PrintHash, rule: CrashRule) {
+    pub fn started(&mut self, run: u64, print: ident::RequestFingerprint, rule: CrashRule) {
         let entry = RunningPrint { run, print, rule };
         let place = self.running.partition_point(|known| known.run < run);
         self.running.insert(place, entry);
@@ -218,7 +218,7 @@
     ///
     /// Without what other nodes answered, a caller's node that has no target to run the request would add
     /// up the losses of a minute, and refuse what all targets serve.
-    pub fn answered(&mut self, now: time::NodeTime, print: ident::PrintHash) {
+    pub fn answered(&mut self, now: time::NodeTime, print: ident::RequestFingerprint) {
         self.proved.note(now, print);
         self.clear(print);
     }
@@ -255,13 +255,14 @@
         now: time::NodeTime,
         peer: ident::NodeId,
         service: &name::ServiceName,
-        prints: &[(ident::PrintHash, CrashRule)],
+        prints: &[(ident::RequestFingerprint, CrashRule)],
     ) -> suspicion::SuspicionNotice {
-        let crash = suspicion::CrashMark {
+        let crash = suspicion::CrashId {
             node: peer,
             sequence: 0,
         };
-        let suspected = |print: ident::PrintHash| self.standing(now, print) != PrintStanding::Clean;
+        let suspected =
+            |print: ident::RequestFingerprint| self.standing(now, print) != PrintStanding::Clean;
         let suspects = prints.iter().filter(|(print, _)| suspected(*print)).count();
         let strikes = prints
             .iter()
@@ -270,7 +271,7 @@
         let notice = suspicion::SuspicionNotice {
             crash,
             service: service.clone(),
-            strikes,
+            suspects: strikes,
         };
         self.apply(now, &notice);
         notice
@@ -297,7 +298,7 @@
         self.suspects.is_empty()
     }
 
-    fn clear(&mut self, print: ident::PrintHash) {
+    fn clear(&mut self, print: ident::RequestFingerprint) {
         let Ok(place) = self.place(print) else {
             return;
         };
@@ -321,12 +322,12 @@
         let group = self.group.take_if(|group| group.waiting.is_empty())?;
         self.crashes += 1;
         let notice = suspicion::SuspicionNotice {
-            crash: suspicion::CrashMark {
+            crash: suspicion::CrashId {
                 node: self.node,
                 sequence: self.crashes,
             },
             service: service.clone(),
-            strikes: self.strikes(now, &group.broken),
+            suspects: self.strikes(now, &group.broken),
         };
         self.apply(now, &notice);
         Some(notice)
@@ -336,7 +337,11 @@
     /// refused for good. If exactly one suspect was among them, the crash is its doing and nobody
     /// else's; otherwise all share the suspicion and are kept apart from now on. A request that
     /// broke with nothing beside it may have met a broken connection, so that counts as a crowd.
-    fn strikes(&self, now: time::NodeTime, broken: &[RunningPrint]) -> Vec<suspicion::PrintStrike> {
+    fn strikes(
+        &self,
+        now: time::NodeTime,
+        broken: &[RunningPrint],
+    ) -> Vec<suspicion::SuspectRequest> {
         let suspected =
             |known: &&RunningPrint| self.standing(now, known.print) != PrintStanding::Clean;
         let mut suspects = broken.iter().filter(suspected);
@@ -355,7 +360,7 @@
             self.marks.pop_front();
         }
         self.marks.push_back(notice.crash);
-        for strike in &notice.strikes {
+        for strike in &notice.suspects {
             self.strike(now, notice.crash, strike);
         }
     }
@@ -366,14 +371,14 @@
     fn strike(
         &mut self,
         now: time::NodeTime,
-        crash: suspicion::CrashMark,
-        strike: &suspicion::PrintStrike,
+        crash: suspicion::CrashId,
+        strike: &suspicion::SuspectRequest,
     ) {
         let rule = CrashRule {
             limit: strike.crash_limit,
             quarantine: Duration::from_secs(u64::from(strike.quarantine_seconds)),
         };
-        match self.place(strike.print) {
+        match self.place(strike.fingerprint) {
             Ok(place) => {
                 let suspect = &mut self.suspects[place];
                 let stale = suspect.left(now).is_zero();
@@ -391,7 +396,7 @@
                 suspect.rule = rule;
             }
             Err(_) => self.add(SuspectPrint {
-                print: strike.print,
+                print: strike.fingerprint,
                 strikes: 1,
                 alone: strike.alone,
                 rule,
@@ -422,19 +427,23 @@
         Some(self.running.remove(place.ok()?))
     }
 
-    fn place(&self, print: ident::PrintHash) -> Result<usize, usize> {
+    fn place(&self, print: ident::RequestFingerprint) -> Result<usize, usize> {
         self.suspects
             .binary_search_by_key(&print, |known| known.print)
     }
 
-    fn find(&self, print: ident::PrintHash) -> Option<&SuspectPrint> {
+    fn find(&self, print: ident::RequestFingerprint) -> Option<&SuspectPrint> {
         self.place(print).ok().map(|place| &self.suspects[place])
     }
 }
 
-fn strike(print: ident::PrintHash, rule: CrashRule, alone: bool) -> suspicion::PrintStrike {
-    suspicion::PrintStrike {
-        print,
+fn strike(
+    print: ident::RequestFingerprint,
+    rule: CrashRule,
+    alone: bool,
+) -> suspicion::SuspectRequest {
+    suspicion::SuspectRequest {
+        fingerprint: print,
         alone,
         crash_limit: rule.limit,
         quarantine_seconds: u32::try_from(rule.quarantine.as_secs()).unwrap_or(u32::MAX),
--- a/crates/anvil_overload/src/rank.rs
+++ b/crates/anvil_overload/src/rank.rs
@@ -38,7 +38,7 @@
     pub const fn of(context: &context::CallContext) -> Self {
         Self {
             class: context.class,
-            by_rule: context.by_rule,
+            by_rule: context.rule_class,
             depth: context.depth,
             lane: std::cmp::Reverse(context.lane),
         }
--- a/crates/anvil_overload/src/ratio.rs
+++ b/crates/anvil_overload/src/ratio.rs
@@ -248,7 +248,7 @@
 fn lane_leave(rank: &rank::CallRank) -> f64 {
     let lane = rank.lane.0;
     let part = match (rank.by_rule, rank.class) {
-        (Some(_), _) => lane.drawn_part(),
+        (Some(_), _) => lane.random_fraction(),
         (None, context::PriorityClass::Critical) => f64::from(lane.0) / f64::from(rank::LANES),
         (None, _) => 0.0,
     };
--- a/crates/anvil_overload/src/refusal.rs
+++ b/crates/anvil_overload/src/refusal.rs
@@ -89,7 +89,7 @@
     /// The node whose limit it is.
     pub by: ident::NodeId,
     /// The rule and the revision that set the limit.
-    pub mark: treatment::RuleMark,
+    pub mark: treatment::RuleReference,
 }
 
 /// The last refusals of this node, the oldest first.
--- a/crates/anvil_overload/tests/quarantine.rs
+++ b/crates/anvil_overload/tests/quarantine.rs
@@ -13,7 +13,7 @@
     quarantine: Duration::from_secs(600),
 };
 
-const POISON: ident::PrintHash = ident::PrintHash(99);
+const POISON: ident::RequestFingerprint = ident::RequestFingerprint(99);
 
 fn at(millis: u64) -> time::NodeTime {
     time::NodeTime::from_millis(millis)
@@ -35,7 +35,7 @@
 ) -> suspicion::SuspicionNotice {
     list.started(0, POISON, RULE);
     for innocent in crowd.clone() {
-        list.started(innocent, ident::PrintHash(innocent), RULE);
+        list.started(innocent, ident::RequestFingerprint(innocent), RULE);
     }
     let mut notice = list.broke(now, 0, &service());
     for innocent in crowd {
@@ -45,7 +45,11 @@
     notice.expect("a crash")
 }
 
-fn condemned(list: &quarantine::PoisonList, now: time::NodeTime, print: ident::PrintHash) -> bool {
+fn condemned(
+    list: &quarantine::PoisonList,
+    now: time::NodeTime,
+    print: ident::RequestFingerprint,
+) -> bool {
     matches!(list.standing(now, print), Standing::Quarantined { .. })
 }
 
@@ -64,10 +68,14 @@
     assert!(first.learn(at(7), &notice));
     assert!(condemned(&first, at(8), POISON));
     for innocent in (1..40).chain(100..139) {
-        assert!(!condemned(&first, at(8), ident::PrintHash(innocent)));
+        assert!(!condemned(
+            &first,
+            at(8),
+            ident::RequestFingerprint(innocent)
+        ));
     }
     // Those beside the second crash are not even suspects: one was running.
-    let beside = ident::PrintHash(100);
+    let beside = ident::RequestFingerprint(100);
     assert_eq!(first.standing(at(8), beside), Standing::Clean);
 }
 
@@ -82,14 +90,14 @@
         .collect();
     lists[0].learn(at(1), &notices[1]);
     assert_eq!(
-        lists[0].standing(at(2), ident::PrintHash(1)),
+        lists[0].standing(at(2), ident::RequestFingerprint(1)),
         Standing::Suspect
     );
     assert_eq!(lists[0].standing(at(2), POISON), Standing::Suspect);
     crash(&mut lists[0], at(3), 1..5);
     crash(&mut lists[0], at(4), 6..9);
     assert!(condemned(&lists[0], at(5), POISON));
-    assert!(!condemned(&lists[0], at(5), ident::PrintHash(6)));
+    assert!(!condemned(&lists[0], at(5), ident::RequestFingerprint(6)));
 }
 
 // A suspect runs to its end: it is cleared. Quarantine ends with the rule's time.
@@ -97,9 +105,12 @@
 fn whole_answers_clear_and_time_ends_it() {
     let mut list = list(1);
     crash(&mut list, at(0), 1..3);
-    list.started(7, ident::PrintHash(1), RULE);
+    list.started(7, ident::RequestFingerprint(1), RULE);
     list.ended(at(1), 7, true, &service());
-    assert_eq!(list.standing(at(1), ident::PrintHash(1)), Standing::Clean);
+    assert_eq!(
+        list.standing(at(1), ident::RequestFingerprint(1)),
+        Standing::Clean
+    );
     crash(&mut list, at(2), 20..23);
     assert!(condemned(&list, at(3), POISON));
     let over = at(2) + RULE.quarantine;
@@ -121,14 +132,14 @@
 #[test]
 fn lost_nodes_count_with_care() {
     let mut list = list(1);
-    let prints = [(POISON, RULE), (ident::PrintHash(1), RULE)];
+    let prints = [(POISON, RULE), (ident::RequestFingerprint(1), RULE)];
     list.peer_lost(at(0), ident::NodeId(2), &service(), &prints);
     assert_eq!(list.standing(at(1), POISON), Standing::Suspect);
-    let prints = [(POISON, RULE), (ident::PrintHash(2), RULE)];
+    let prints = [(POISON, RULE), (ident::RequestFingerprint(2), RULE)];
     list.peer_lost(at(2), ident::NodeId(3), &service(), &prints);
     assert!(condemned(&list, at(3), POISON));
-    assert!(!condemned(&list, at(3), ident::PrintHash(1)));
-    assert!(!condemned(&list, at(3), ident::PrintHash(2)));
+    assert!(!condemned(&list, at(3), ident::RequestFingerprint(1)));
+    assert!(!condemned(&list, at(3), ident::RequestFingerprint(2)));
 }
 
 // Crash after crash names new requests; memory stays bounded and keeps the condemned.
@@ -139,20 +150,20 @@
     crash(&mut list, at(1), 2..3);
     assert!(condemned(&list, at(2), POISON));
     for round in 0..100_u64 {
-        let strike = |print| suspicion::PrintStrike {
-            print: ident::PrintHash(1_000 + round * 100 + print),
+        let strike = |print| suspicion::SuspectRequest {
+            fingerprint: ident::RequestFingerprint(1_000 + round * 100 + print),
             alone: false,
             crash_limit: 2,
             quarantine_seconds: 600,
         };
-        let crash = suspicion::CrashMark {
+        let crash = suspicion::CrashId {
             node: ident::NodeId(9),
             sequence: round + 1,
         };
         let notice = suspicion::SuspicionNotice {
             crash,
             service: service(),
-            strikes: (0..100).map(strike).collect(),
+            suspects: (0..100).map(strike).collect(),
         };
         list.learn(at(3 + round), &notice);
     }
@@ -165,7 +176,7 @@
 fn broken_connection_is_no_crash() {
     let mut list = list(1);
     for run in 0..8 {
-        list.started(run, ident::PrintHash(run), RULE);
+        list.started(run, ident::RequestFingerprint(run), RULE);
     }
     assert_eq!(list.broke(at(1), 0, &service()), None);
     assert_eq!(list.ended(at(2), 1, true, &service()), None);
@@ -217,7 +228,7 @@
 fn answers_of_other_nodes_take_strikes_back() {
     let mut list = list(1);
     for loss in 0..6 {
-        let crowd = [(POISON, RULE), (ident::PrintHash(50 + loss), RULE)];
+        let crowd = [(POISON, RULE), (ident::RequestFingerprint(50 + loss), RULE)];
         list.peer_lost(
             at(loss * 1_000),
             ident::NodeId(20 + loss),
@@ -235,7 +246,7 @@
 #[test]
 fn what_was_answered_lately_is_not_refused_for_a_series_of_losses() {
     let mut list = list(1);
-    let page = ident::PrintHash(7);
+    let page = ident::RequestFingerprint(7);
     list.answered(at(0), page);
     for loss in 0..6 {
         let node = ident::NodeId(20 + loss);
@@ -247,6 +258,6 @@
     // It is answered once more, and then other requests push it out of what is remembered. Nothing is held
     // against it any more.
     list.answered(at(800), page);
-    list.answered(at(900), ident::PrintHash(7 + 256));
+    list.answered(at(900), ident::RequestFingerprint(7 + 256));
     assert_eq!(list.standing(at(1_000), page), Standing::Clean);
 }
--- a/crates/anvil_quota/src/entry.rs
+++ b/crates/anvil_quota/src/entry.rs
@@ -178,12 +178,12 @@
     }
 
     /// Whether a verdict answers a report of the present session.
-    pub fn is_of_session(&self, from: ident::NodeId, verdict: quota::UseVerdict) -> bool {
+    pub fn is_of_session(&self, from: ident::NodeId, verdict: quota::UsageDecision) -> bool {
         self.home == Some(from) && verdict.session == self.session
     }
 
     /// Whether the home has lost the count that this session refers to.
-    pub fn is_outdated(&self, from: ident::NodeId, verdict: quota::UseVerdict) -> bool {
+    pub fn is_outdated(&self, from: ident::NodeId, verdict: quota::UsageDecision) -> bool {
         self.is_of_session(from, verdict) && self.term != 0 && verdict.term != self.term
     }
 
@@ -192,7 +192,7 @@
         &mut self,
         now: time::NodeTime,
         from: ident::NodeId,
-        verdict: quota::UseVerdict,
+        verdict: quota::UsageDecision,
     ) -> Vec<effect::QuotaEffect> {
         if !self.is_of_session(from, verdict) || verdict.granted < self.granted {
             return Vec::new();
@@ -203,7 +203,7 @@
         self.sends = 0;
         let mut fresh = verdict.granted - self.granted;
         self.granted = verdict.granted;
-        let pause = Duration::from_millis(u64::from(verdict.pause_millis));
+        let pause = Duration::from_millis(u64::from(verdict.retry_after_millis));
         let mut effects = Vec::new();
         while let Some(front) = self.waiting.front().copied() {
             if front.place > verdict.asked {
@@ -233,7 +233,7 @@
         &mut self,
         now: time::NodeTime,
         account: account::AccountId,
-    ) -> Option<quota::UseReport> {
+    ) -> Option<quota::UsageReport> {
         if !std::mem::take(&mut self.unsent) || self.home.is_none() {
             return None;
         }
@@ -241,13 +241,13 @@
             self.sends = 1;
             self.due = Some(now + RESEND);
         }
-        Some(quota::UseReport {
+        Some(quota::UsageReport {
             account,
             session: self.session,
             term: self.term,
             spent: self.spent,
             asked: self.asked,
-            stands_in: self.stands_in,
+            failover: self.stands_in,
         })
     }
 
--- a/crates/anvil_quota/src/handover.rs
+++ b/crates/anvil_quota/src/handover.rs
@@ -49,10 +49,10 @@
     }
 
     /// The message to send now.
-    pub fn send(&mut self, now: time::NodeTime) -> quota::UseHandover {
+    pub fn send(&mut self, now: time::NodeTime) -> quota::UsageHandover {
         self.sends += 1;
         self.due = now + RESEND;
-        quota::UseHandover {
+        quota::UsageHandover {
             account: self.account,
             number: self.number,
             slices: self.uses.slices(now).to_vec(),
--- a/crates/anvil_quota/src/home.rs
+++ b/crates/anvil_quota/src/home.rs
@@ -85,7 +85,7 @@
 }
 
 /// A verdict and where it goes.
-pub type AddressedVerdict = (SocketAddr, quota::UseVerdict);
+pub type AddressedVerdict = (SocketAddr, quota::UsageDecision);
 
 impl HomeAccount {
     /// A home that has just become one, with `tokens` of its bucket.
@@ -136,7 +136,7 @@
         now: time::NodeTime,
         size: bucket::BucketSize,
         from: ident::NodeId,
-        told: &quota::UseHandover,
+        told: &quota::UsageHandover,
     ) -> Option<i32> {
         let known = |taken: &TakenHandover| (taken.from, taken.number) == (from, told.number);
         if self.taken.iter().any(known) {
@@ -217,8 +217,8 @@
         now: time::NodeTime,
         size: bucket::BucketSize,
         from: (ident::NodeId, SocketAddr),
-        told: quota::UseReport,
-    ) -> Option<quota::UseVerdict> {
+        told: quota::UsageReport,
+    ) -> Option<quota::UsageDecision> {
         let (node, address) = from;
         self.reports.count(now);
         let known = self.entries.get(node).copied();
@@ -317,8 +317,8 @@
     }
 
     /// Asks an entry node for a new session.
-    fn restart(&self, told: quota::UseReport) -> quota::UseVerdict {
-        quota::UseVerdict {
+    fn restart(&self, told: quota::UsageReport) -> quota::UsageDecision {
+        quota::UsageDecision {
             account: told.account,
             session: told.session,
             term: self.term,
@@ -326,8 +326,8 @@
             asked: 0,
             granted: 0,
             ahead: 0,
-            pause_millis: 0,
-            instead: None,
+            retry_after_millis: 0,
+            redirect: None,
         }
     }
 
@@ -336,9 +336,9 @@
         size: bucket::BucketSize,
         account: account::AccountId,
         entry: &EntryNode,
-    ) -> quota::UseVerdict {
+    ) -> quota::UsageDecision {
         let pause = self.bucket.pause(size).as_millis();
-        quota::UseVerdict {
+        quota::UsageDecision {
             account,
             session: entry.session,
             term: self.term,
@@ -346,8 +346,8 @@
             asked: entry.asked,
             granted: entry.granted,
             ahead: entry.ahead,
-            pause_millis: u32::try_from(pause).unwrap_or(u32::MAX),
-            instead: None,
+            retry_after_millis: u32::try_from(pause).unwrap_or(u32::MAX),
+            redirect: None,
         }
     }
 }
--- a/crates/anvil_quota/src/ledger.rs
+++ b/crates/anvil_quota/src/ledger.rs
@@ -268,21 +268,23 @@
     ) -> Vec<effect::QuotaEffect> {
         let mut out = Vec::new();
         match message {
-            quota::QuotaMessage::Report { uses } => {
+            quota::QuotaMessage::Report { reports: uses } => {
                 self.on_report(now, (from, address), uses, &mut out);
             }
-            quota::QuotaMessage::Verdict { verdicts } => {
+            quota::QuotaMessage::Decision {
+                decisions: verdicts,
+            } => {
                 self.silent.remove(from);
                 for verdict in verdicts {
                     self.on_verdict(now, from, *verdict, &mut out);
                 }
             }
-            quota::QuotaMessage::Behind => self.on_behind(now, (from, address), &mut out),
-            quota::QuotaMessage::Between(hint) => self.on_between(*hint, &mut out),
+            quota::QuotaMessage::SuccessorProbe => self.on_behind(now, (from, address), &mut out),
+            quota::QuotaMessage::CloserSuccessor(hint) => self.on_between(*hint, &mut out),
             quota::QuotaMessage::Handover(told) => {
                 self.on_handover(now, (from, address), told, &mut out);
             }
-            quota::QuotaMessage::Taken { number } => self.handover_taken(now, from, *number),
+            quota::QuotaMessage::HandoverAck { number } => self.handover_taken(now, from, *number),
         }
         out
     }
@@ -329,7 +331,7 @@
         if self.unsent.is_empty() {
             return out;
         }
-        let mut reports: Vec<(SocketAddr, quota::UseReport)> = Vec::new();
+        let mut reports: Vec<(SocketAddr, quota::UsageReport)> = Vec::new();
         for account in std::mem::take(&mut self.unsent) {
             let HomePlace::Peer(_, address) = self.follow(now, account) else {
                 self.decide_waiting(now, account, &mut out);
@@ -346,9 +348,9 @@
         self.unsent.clear();
         reports.sort_by_key(|(address, _)| *address);
         for same in reports.chunk_by(|a, b| a.0 == b.0) {
-            for part in same.chunks(quota::ACCOUNTS_LIMIT) {
+            for part in same.chunks(quota::MAX_ACCOUNTS) {
                 let uses = part.iter().map(|(_, report)| *report).collect();
-                let message = quota::QuotaMessage::Report { uses };
+                let message = quota::QuotaMessage::Report { reports: uses };
                 self.send(part[0].0, message, &mut out);
             }
         }
--- a/crates/anvil_quota/src/ledger/asking.rs
+++ b/crates/anvil_quota/src/ledger/asking.rs
@@ -12,13 +12,13 @@
         &mut self,
         now: time::NodeTime,
         from: ident::NodeId,
-        verdict: quota::UseVerdict,
+        verdict: quota::UsageDecision,
         out: &mut Vec<effect::QuotaEffect>,
     ) {
         let Some(entry) = self.entries.get_mut(verdict.account) else {
             return;
         };
-        if let Some(hint) = verdict.instead {
+        if let Some(hint) = verdict.redirect {
             if entry.is_of_session(from, verdict) {
                 self.follow_hint(now, verdict.account, hint);
             }
--- a/crates/anvil_quota/src/ledger/counting.rs
+++ b/crates/anvil_quota/src/ledger/counting.rs
@@ -13,7 +13,7 @@
         &mut self,
         now: time::NodeTime,
         from: (ident::NodeId, SocketAddr),
-        uses: &[quota::UseReport],
+        uses: &[quota::UsageReport],
         out: &mut Vec<effect::QuotaEffect>,
     ) {
         let mut verdicts = Vec::with_capacity(uses.len());
@@ -31,19 +31,25 @@
             self.tighten(told.account, out);
         }
         if !verdicts.is_empty() {
-            let message = quota::QuotaMessage::Verdict { verdicts };
+            let message = quota::QuotaMessage::Decision {
+                decisions: verdicts,
+            };
             self.send(from.1, message, out);
         }
     }
 
     /// Names the home of an account that this node doesn't count and need not stand in for.
-    fn hint_home(&self, now: time::NodeTime, told: quota::UseReport) -> Option<quota::UseVerdict> {
+    fn hint_home(
+        &self,
+        now: time::NodeTime,
+        told: quota::UsageReport,
+    ) -> Option<quota::UsageDecision> {
         let home = self.other_home(told.account)?;
         let alive = self.heard.has(now, home.node);
-        if told.stands_in && !alive {
+        if told.failover && !alive {
             return None;
         }
-        Some(quota::UseVerdict {
+        Some(quota::UsageDecision {
             account: told.account,
             session: told.session,
             term: told.term,
@@ -51,8 +57,8 @@
             asked: 0,
             granted: 0,
             ahead: 0,
-            pause_millis: 0,
-            instead: Some(quota::HomeHint {
+            retry_after_millis: 0,
+            redirect: Some(quota::HomeHint {
                 node: home.node,
                 address: home.address,
                 alive,
@@ -89,7 +95,13 @@
         };
         for (to, verdict) in home.tighten(size, account) {
             let verdicts = vec![verdict];
-            self.send(to, quota::QuotaMessage::Verdict { verdicts }, out);
+            self.send(
+                to,
+                quota::QuotaMessage::Decision {
+                    decisions: verdicts,
+                },
+                out,
+            );
         }
     }
 
--- a/crates/anvil_quota/src/ledger/handing.rs
+++ b/crates/anvil_quota/src/ledger/handing.rs
@@ -73,7 +73,7 @@
         &mut self,
         now: time::NodeTime,
         from: (ident::NodeId, SocketAddr),
-        told: &quota::UseHandover,
+        told: &quota::UsageHandover,
         out: &mut Vec<effect::QuotaEffect>,
     ) {
         let account = told.account;
@@ -95,7 +95,7 @@
             }
         }
         let number = told.number;
-        self.send(from.1, quota::QuotaMessage::Taken { number }, out);
+        self.send(from.1, quota::QuotaMessage::HandoverAck { number }, out);
     }
 
     /// Forgets a handover that was taken, and notes that its home lives.
--- a/crates/anvil_quota/src/ledger/introducing.rs
+++ b/crates/anvil_quota/src/ledger/introducing.rs
@@ -67,7 +67,7 @@
         told.due = goes_on.then_some(now + INTERVAL);
         told.named_told = 0;
         if let Some(next) = self.ring.successor(self.node) {
-            self.send(next.address, quota::QuotaMessage::Behind, out);
+            self.send(next.address, quota::QuotaMessage::SuccessorProbe, out);
         }
     }
 
@@ -95,7 +95,7 @@
                 address: nearer.address,
                 alive: false,
             };
-            self.send(address, quota::QuotaMessage::Between(hint), out);
+            self.send(address, quota::QuotaMessage::CloserSuccessor(hint), out);
         }
     }
 
@@ -106,7 +106,7 @@
         let told = &mut self.introduction;
         if hint.node != self.node && told.named_told < NAMED {
             told.named_told += 1;
-            self.send(hint.address, quota::QuotaMessage::Behind, out);
+            self.send(hint.address, quota::QuotaMessage::SuccessorProbe, out);
         }
     }
 
--- a/crates/anvil_quota/src/recent.rs
+++ b/crates/anvil_quota/src/recent.rs
@@ -9,7 +9,7 @@
 pub const SLICE: Duration = Duration::from_millis(250);
 
 /// Slices kept: five seconds, as long as the windows over which quotas are judged.
-pub const SLICES: usize = quota::SLICES_LIMIT;
+pub const SLICES: usize = quota::MAX_SLICES;
 
 /// Requests let in, less those given back, by the slice of time in which they were.
 #[derive(Clone, Copy, Debug)]
--- a/crates/anvil_quota/tests/neighbours.rs
+++ b/crates/anvil_quota/tests/neighbours.rs
@@ -51,10 +51,10 @@
 #[test]
 fn a_node_that_is_only_named_is_no_home() {
     let moved = is_moved(|ledger, node| {
-        let between = quota::QuotaMessage::Between(named(node, false));
+        let between = quota::QuotaMessage::CloserSuccessor(named(node, false));
         let effects = ledger.on_message(at(10), ident::NodeId(99), address(99), &between);
         let told = effects.iter().any(|effect| {
-            matches!(effect, effect::QuotaEffect::Send { to, message: quota::QuotaMessage::Behind }
+            matches!(effect, effect::QuotaEffect::Send { to, message: quota::QuotaMessage::SuccessorProbe }
                 if *to == address(node))
         });
         assert!(told, "it is told of this one");
@@ -66,7 +66,7 @@
 #[test]
 fn answers_that_name_nodes_again_and_again_come_to_an_end() {
     let mut ledger = alone();
-    let between = quota::QuotaMessage::Between(named(2, false));
+    let between = quota::QuotaMessage::CloserSuccessor(named(2, false));
     let told = (0..100).map(|_| {
         ledger
             .on_message(at(10), ident::NodeId(99), address(99), &between)
@@ -79,7 +79,7 @@
 fn a_node_that_makes_itself_known_is_a_home() {
     let moved = is_moved(|ledger, node| {
         let from = ident::NodeId(u64::from(node));
-        let behind = quota::QuotaMessage::Behind;
+        let behind = quota::QuotaMessage::SuccessorProbe;
         ledger.on_message(at(10), from, address(node), &behind);
     });
     assert!(moved);
@@ -92,7 +92,7 @@
     for turn in 0..own * 2 {
         ledger.admit(at(10 + turn * 2_000 / (own * 2)), ACCOUNT, turn);
     }
-    let told = quota::UseHandover {
+    let told = quota::UsageHandover {
         account: ACCOUNT,
         number: 1,
         slices: vec![19; 8],
@@ -121,7 +121,7 @@
 fn withheld_tokens_pay_for_a_handover() {
     let mut ledger = alone();
     ledger.admit(at(10), ACCOUNT, 1);
-    let told = quota::UseHandover {
+    let told = quota::UsageHandover {
         account: ACCOUNT,
         number: 1,
         slices: vec![40],
--- a/crates/anvil_standins/src/store/fake.rs
+++ b/crates/anvil_standins/src/store/fake.rs
@@ -107,13 +107,13 @@
         &mut self,
         now: time::NodeTime,
         caller: Caller,
-        ask: &store::StoreAsk,
+        ask: &store::StoreRequest,
     ) -> Option<store::StoreOutcome> {
         if let Some(refusal) = self.admit(now, ask) {
             return Some(refusal);
         }
         let outcome = match ask {
-            store::StoreAsk::Watch { prefix, seen, wait } => {
+            store::StoreRequest::Watch { prefix, seen, wait } => {
                 self.watch(now, caller, prefix, *seen, *wait)?
             }
             _ => self.answer(now, ask),
@@ -128,7 +128,7 @@
     pub fn admit(
         &mut self,
         now: time::NodeTime,
-        ask: &store::StoreAsk,
+        ask: &store::StoreRequest,
     ) -> Option<store::StoreOutcome> {
         self.lapse(now);
         self.count(ask);
@@ -147,7 +147,7 @@
         let waiting = std::mem::take(&mut self.watches);
         for watch in waiting {
             if watch.seen > self.version {
-                ended.push((watch.caller, store::StoreOutcome::HistoryLost));
+                ended.push((watch.caller, store::StoreOutcome::HistoryTrimmed));
                 continue;
             }
             let found = self.written_since(&watch.prefix, watch.seen);
@@ -205,20 +205,22 @@
         }
     }
 
-    fn count(&mut self, ask: &store::StoreAsk) {
+    fn count(&mut self, ask: &store::StoreRequest) {
         match ask {
-            store::StoreAsk::Get { .. } | store::StoreAsk::List { .. } => self.counts.reads += 1,
-            store::StoreAsk::Watch { .. } => {
+            store::StoreRequest::Get { .. } | store::StoreRequest::List { .. } => {
+                self.counts.reads += 1;
+            }
+            store::StoreRequest::Watch { .. } => {
                 self.counts.reads += 1;
                 self.counts.watches += 1;
             }
-            store::StoreAsk::Swap { value, .. } => {
+            store::StoreRequest::Swap { value, .. } => {
                 self.counts.writes += 1;
                 self.counts.largest_value = self.counts.largest_value.max(value.len());
             }
-            store::StoreAsk::Remove { .. }
-            | store::StoreAsk::Grant { .. }
-            | store::StoreAsk::Renew { .. } => self.counts.writes += 1,
+            store::StoreRequest::Remove { .. }
+            | store::StoreRequest::Grant { .. }
+            | store::StoreRequest::Renew { .. } => self.counts.writes += 1,
         }
     }
 
@@ -226,27 +228,27 @@
         percent > 0 && self.choice.next_u32() % 100 < percent
     }
 
-    fn answer(&mut self, now: time::NodeTime, ask: &store::StoreAsk) -> store::StoreOutcome {
+    fn answer(&mut self, now: time::NodeTime, ask: &store::StoreRequest) -> store::StoreOutcome {
         match ask {
-            store::StoreAsk::Get { key } => {
+            store::StoreRequest::Get { key } => {
                 let entry = self.current(key);
                 store::StoreOutcome::Done(store::StoreReply::Entry(entry))
             }
-            store::StoreAsk::Swap {
+            store::StoreRequest::Swap {
                 key,
-                base,
+                condition: base,
                 value,
                 lease,
             } => self.swap(key, *base, value, *lease),
-            store::StoreAsk::Remove { key, version } => self.remove(key, *version),
-            store::StoreAsk::Grant { lease } => self.grant(now, *lease),
-            store::StoreAsk::Renew { lease } => self.renew(now, *lease),
-            store::StoreAsk::List {
+            store::StoreRequest::Remove { key, version } => self.remove(key, *version),
+            store::StoreRequest::Grant { lease } => self.grant(now, *lease),
+            store::StoreRequest::Renew { lease } => self.renew(now, *lease),
+            store::StoreRequest::List {
                 prefix,
                 after,
                 limit,
             } => self.list(prefix, after.as_ref(), *limit),
-            store::StoreAsk::Watch { prefix, seen, .. } => {
+            store::StoreRequest::Watch { prefix, seen, .. } => {
                 let found = self.written_since(prefix, *seen);
                 self.listed(found, false)
             }
@@ -262,7 +264,7 @@
         wait: Duration,
     ) -> Option<store::StoreOutcome> {
         if seen > self.version {
-            return Some(store::StoreOutcome::HistoryLost);
+            return Some(store::StoreOutcome::HistoryTrimmed);
         }
         let found = self.written_since(prefix, seen);
         if !found.is_empty() {
@@ -280,18 +282,18 @@
     fn swap(
         &mut self,
         key: &store::StoreKey,
-        base: store::SwapBase,
+        base: store::SwapCondition,
         value: &bytes::Bytes,
         lease: Option<store::LeaseId>,
     ) -> store::StoreOutcome {
         let unknown_lease = lease.is_some_and(|id| self.leases.iter().all(|l| l.id != id));
-        if value.len() > store::VALUE_LIMIT || unknown_lease {
+        if value.len() > store::MAX_VALUE_BYTES || unknown_lease {
             return store::StoreOutcome::Unavailable;
         }
         let place = self.place(key);
         let stands = match (base, place) {
-            (store::SwapBase::Absent, Err(_)) => true,
-            (store::SwapBase::At(version), Ok(place)) => {
+            (store::SwapCondition::Absent, Err(_)) => true,
+            (store::SwapCondition::At(version), Ok(place)) => {
                 self.entries[place].entry.version == version
             }
             _ => false,
--- a/crates/anvil_standins/src/store/server.rs
+++ b/crates/anvil_standins/src/store/server.rs
@@ -113,7 +113,7 @@
         return rouille::Response::text("no such question").with_status_code(400);
     };
     let outcome = match &ask {
-        store::StoreAsk::Watch { wait, .. } => wait_for(shared, &ask, *wait),
+        store::StoreRequest::Watch { wait, .. } => wait_for(shared, &ask, *wait),
         _ => {
             let outcome = shared.fake().carry_out(shared.now(), 0, &ask);
             shared.written.notify_all();
@@ -124,8 +124,12 @@
 }
 
 /// Holds a watch until something was written or its time is over.
-fn wait_for(shared: &Shared, ask: &store::StoreAsk, wait: Duration) -> Option<store::StoreOutcome> {
-    let store::StoreAsk::Watch { prefix, seen, .. } = ask else {
+fn wait_for(
+    shared: &Shared,
+    ask: &store::StoreRequest,
+    wait: Duration,
+) -> Option<store::StoreOutcome> {
+    let store::StoreRequest::Watch { prefix, seen, .. } = ask else {
         return None;
     };
     let end = shared.now() + wait;
@@ -150,60 +154,64 @@
     }
 }
 
-fn question(request: &rouille::Request) -> Option<store::StoreAsk> {
+fn question(request: &rouille::Request) -> Option<store::StoreRequest> {
     let url = request.url();
     let number = |name: &str| request.get_param(name)?.parse::<u64>().ok();
     let span = |name: &str| number(name).map(Duration::from_millis);
     let prefix = || Some(store::StoreKey::new(&request.get_param("prefix")?));
     match (request.method(), url.as_str()) {
-        ("GET", "/list") => Some(store::StoreAsk::List {
+        ("GET", "/list") => Some(store::StoreRequest::List {
             prefix: prefix()?,
             after: request
                 .get_param("after")
                 .map(|key| store::StoreKey::new(&key)),
             limit: u32::try_from(number("limit")?).ok()?,
         }),
-        ("GET", "/watch") => Some(store::StoreAsk::Watch {
+        ("GET", "/watch") => Some(store::StoreRequest::Watch {
             prefix: prefix()?,
             seen: store::StoreVersion(number("seen")?),
             wait: span("millis")?,
         }),
-        ("POST", "/leases") => Some(store::StoreAsk::Grant {
+        ("POST", "/leases") => Some(store::StoreRequest::Grant {
             lease: span("millis")?,
         }),
         ("PUT", path) if path.starts_with("/leases/") => {
             let lease = path.strip_prefix("/leases/")?.parse().ok()?;
             let lease = store::LeaseId(lease);
-            Some(store::StoreAsk::Renew { lease })
+            Some(store::StoreRequest::Renew { lease })
         }
         (method, path) => entry_question(request, method, path),
     }
 }
 
-fn entry_question(request: &rouille::Request, method: &str, path: &str) -> Option<store::StoreAsk> {
+fn entry_question(
+    request: &rouille::Request,
+    method: &str,
+    path: &str,
+) -> Option<store::StoreRequest> {
     let key = store::StoreKey::new(path.strip_prefix("/kv/")?);
     let number = |name: &str| request.get_param(name)?.parse::<u64>().ok();
     match method {
-        "GET" => Some(store::StoreAsk::Get { key }),
+        "GET" => Some(store::StoreRequest::Get { key }),
         "PUT" => {
             let base = match request.get_param("base")?.as_str() {
-                "absent" => store::SwapBase::Absent,
-                text => store::SwapBase::At(store::StoreVersion(text.parse().ok()?)),
+                "absent" => store::SwapCondition::Absent,
+                text => store::SwapCondition::At(store::StoreVersion(text.parse().ok()?)),
             };
             let mut value = Vec::new();
             request.data()?.read_to_end(&mut value).ok()?;
             let value = Bytes::from(value);
             let lease = number("lease").map(store::LeaseId);
-            Some(store::StoreAsk::Swap {
+            Some(store::StoreRequest::Swap {
                 key,
-                base,
+                condition: base,
                 value,
                 lease,
             })
         }
         "DELETE" => {
             let version = store::StoreVersion(number("base")?);
-            Some(store::StoreAsk::Remove { key, version })
+            Some(store::StoreRequest::Remove { key, version })
         }
         _ => None,
     }
@@ -214,7 +222,9 @@
         store::StoreOutcome::Done(reply) => done(reply),
         store::StoreOutcome::Conflict { current } => entry(current).with_status_code(412),
         store::StoreOutcome::Unavailable => rouille::Response::text("down").with_status_code(503),
-        store::StoreOutcome::HistoryLost => rouille::Response::text("gone").with_status_code(410),
+        store::StoreOutcome::HistoryTrimmed => {
+            rouille::Response::text("gone").with_status_code(410)
+        }
         // A broken body stands for a lost answer: the client can't tell what was done.
         store::StoreOutcome::Unknown => rouille::Response::text("lost").with_status_code(502),
     }
--- a/crates/anvil_standins/tests/store_http.rs
+++ b/crates/anvil_standins/tests/store_http.rs
@@ -10,7 +10,7 @@
 use anvil_store::http::HttpStore;
 use anvil_store::platform::PlatformStore;
 use anvil_types::store::{
-    StoreAsk, StoreEntry, StoreKey, StoreOutcome, StoreReply, StoreVersion, SwapBase,
+    StoreEntry, StoreKey, StoreOutcome, StoreReply, StoreRequest, StoreVersion, SwapCondition,
 };
 use bytes::Bytes;
 
@@ -20,10 +20,10 @@
     (server, client)
 }
 
-fn swap(base: SwapBase, value: &'static [u8]) -> StoreAsk {
-    StoreAsk::Swap {
+fn swap(base: SwapCondition, value: &'static [u8]) -> StoreRequest {
+    StoreRequest::Swap {
         key: StoreKey::new("rules/log/1"),
-        base,
+        condition: base,
         value: Bytes::from_static(value),
         lease: None,
     }
@@ -42,12 +42,18 @@
     let (_server, client) = pair();
     let version = StoreVersion(1);
     let done = StoreOutcome::Done(StoreReply::Swapped { version });
-    assert_eq!(client.carry_out(&swap(SwapBase::Absent, b"a\0b")), done);
+    assert_eq!(
+        client.carry_out(&swap(SwapCondition::Absent, b"a\0b")),
+        done
+    );
     let current = Some(entry(1, b"a\0b"));
     let conflict = StoreOutcome::Conflict { current };
-    assert_eq!(client.carry_out(&swap(SwapBase::Absent, b"c")), conflict);
+    assert_eq!(
+        client.carry_out(&swap(SwapCondition::Absent, b"c")),
+        conflict
+    );
     let key = StoreKey::new("rules/log/1");
-    let get = client.carry_out(&StoreAsk::Get { key });
+    let get = client.carry_out(&StoreRequest::Get { key });
     let found = Some(entry(1, b"a\0b"));
     assert_eq!(get, StoreOutcome::Done(StoreReply::Entry(found)));
 }
@@ -60,7 +66,7 @@
         down: true,
         ..fake::StoreFaults::default()
     });
-    let ask = swap(SwapBase::Absent, b"x");
+    let ask = swap(SwapCondition::Absent, b"x");
     assert_eq!(client.carry_out(&ask), StoreOutcome::Unavailable);
     assert!(server.entries().is_empty());
     let nobody: SocketAddr = "127.0.0.1:9".parse().unwrap();
@@ -76,7 +82,7 @@
         lost_answers: 100,
         ..fake::StoreFaults::default()
     });
-    let outcome = client.carry_out(&swap(SwapBase::Absent, b"x"));
+    let outcome = client.carry_out(&swap(SwapCondition::Absent, b"x"));
     assert_eq!(outcome, StoreOutcome::Unknown);
     assert_eq!(server.entries(), [entry(1, b"x")]);
 }
@@ -86,7 +92,7 @@
     let (server, client) = pair();
     let address = server.address();
     let watching = thread::spawn(move || {
-        let watch = StoreAsk::Watch {
+        let watch = StoreRequest::Watch {
             prefix: StoreKey::new("rules/log/"),
             seen: StoreVersion(0),
             wait: Duration::from_secs(20),
@@ -96,7 +102,7 @@
     while server.counts().watches == 0 {
         thread::sleep(Duration::from_millis(2));
     }
-    client.carry_out(&swap(SwapBase::Absent, b"new"));
+    client.carry_out(&swap(SwapCondition::Absent, b"new"));
     let listed = StoreReply::Listed {
         entries: vec![entry(1, b"new")],
         seen: StoreVersion(1),
@@ -110,19 +116,19 @@
 fn a_lapsed_lease_takes_its_entry_along() {
     let (server, client) = pair();
     let lease = Duration::from_millis(30);
-    let granted = client.carry_out(&StoreAsk::Grant { lease });
+    let granted = client.carry_out(&StoreRequest::Grant { lease });
     let StoreOutcome::Done(StoreReply::Granted { lease }) = granted else {
         panic!("{granted:?}");
     };
-    let ask = StoreAsk::Swap {
+    let ask = StoreRequest::Swap {
         key: StoreKey::new("contacts/zone/0"),
-        base: SwapBase::Absent,
+        condition: SwapCondition::Absent,
         value: Bytes::from_static(b"me"),
         lease: Some(lease),
     };
     client.carry_out(&ask);
     let lapsed = StoreOutcome::Done(StoreReply::Lapsed);
-    while client.carry_out(&StoreAsk::Renew { lease }) != lapsed {
+    while client.carry_out(&StoreRequest::Renew { lease }) != lapsed {
         thread::sleep(Duration::from_millis(40));
     }
     assert!(server.entries().is_empty());
--- a/crates/anvil_store/src/http.rs
+++ b/crates/anvil_store/src/http.rs
@@ -48,7 +48,7 @@
 }
 
 impl platform::PlatformStore for HttpStore {
-    fn carry_out(&self, ask: &store::StoreAsk) -> store::StoreOutcome {
+    fn carry_out(&self, ask: &store::StoreRequest) -> store::StoreOutcome {
         let Some(address) = self.address() else {
             return store::StoreOutcome::Unavailable;
         };
@@ -65,19 +65,23 @@
     }
 }
 
-fn send(address: SocketAddr, ask: &store::StoreAsk) -> attohttpc::Result<attohttpc::Response> {
+fn send(address: SocketAddr, ask: &store::StoreRequest) -> attohttpc::Result<attohttpc::Response> {
     let url = format!("http://{address}{}", protocol::target_of(ask));
     let (method, body, wait) = match ask {
-        store::StoreAsk::Get { .. } | store::StoreAsk::List { .. } => {
+        store::StoreRequest::Get { .. } | store::StoreRequest::List { .. } => {
             (attohttpc::Method::GET, Bytes::new(), Duration::ZERO)
         }
-        store::StoreAsk::Watch { wait, .. } => (attohttpc::Method::GET, Bytes::new(), *wait),
-        store::StoreAsk::Swap { value, .. } => {
+        store::StoreRequest::Watch { wait, .. } => (attohttpc::Method::GET, Bytes::new(), *wait),
+        store::StoreRequest::Swap { value, .. } => {
             (attohttpc::Method::PUT, value.clone(), Duration::ZERO)
         }
-        store::StoreAsk::Renew { .. } => (attohttpc::Method::PUT, Bytes::new(), Duration::ZERO),
-        store::StoreAsk::Remove { .. } => (attohttpc::Method::DELETE, Bytes::new(), Duration::ZERO),
-        store::StoreAsk::Grant { .. } => (attohttpc::Method::POST, Bytes::new(), Duration::ZERO),
+        store::StoreRequest::Renew { .. } => (attohttpc::Method::PUT, Bytes::new(), Duration::ZERO),
+        store::StoreRequest::Remove { .. } => {
+            (attohttpc::Method::DELETE, Bytes::new(), Duration::ZERO)
+        }
+        store::StoreRequest::Grant { .. } => {
+            (attohttpc::Method::POST, Bytes::new(), Duration::ZERO)
+        }
     };
     attohttpc::RequestBuilder::new(method, url)
         .connect_timeout(CONNECT_WAIT)
@@ -132,7 +136,7 @@
 
 /// Reads the answer; none where it makes no sense.
 fn read(
-    ask: &store::StoreAsk,
+    ask: &store::StoreRequest,
     status: u16,
     headers: &header::HeaderMap,
     body: Vec<u8>,
@@ -151,23 +155,25 @@
     let reply = match (ask, status) {
         // The platform says 503 before it does anything.
         (_, 503) => return Some(store::StoreOutcome::Unavailable),
-        (store::StoreAsk::Watch { .. }, 410) => return Some(store::StoreOutcome::HistoryLost),
-        (store::StoreAsk::Swap { key, .. } | store::StoreAsk::Remove { key, .. }, 412) => {
+        (store::StoreRequest::Watch { .. }, 410) => {
+            return Some(store::StoreOutcome::HistoryTrimmed);
+        }
+        (store::StoreRequest::Swap { key, .. } | store::StoreRequest::Remove { key, .. }, 412) => {
             let current = entry(key);
             return Some(store::StoreOutcome::Conflict { current });
         }
-        (store::StoreAsk::Get { key }, 200) => store::StoreReply::Entry(Some(entry(key)?)),
-        (store::StoreAsk::Get { .. }, 404) => store::StoreReply::Entry(None),
-        (store::StoreAsk::Swap { .. }, 200) => store::StoreReply::Swapped { version: version? },
-        (store::StoreAsk::Remove { .. }, 204) => store::StoreReply::Removed,
-        (store::StoreAsk::Grant { .. }, 200) => {
+        (store::StoreRequest::Get { key }, 200) => store::StoreReply::Entry(Some(entry(key)?)),
+        (store::StoreRequest::Get { .. }, 404) => store::StoreReply::Entry(None),
+        (store::StoreRequest::Swap { .. }, 200) => store::StoreReply::Swapped { version: version? },
+        (store::StoreRequest::Remove { .. }, 204) => store::StoreReply::Removed,
+        (store::StoreRequest::Grant { .. }, 200) => {
             let text = std::str::from_utf8(&body).ok()?;
             let lease = store::LeaseId(text.trim().parse().ok()?);
             store::StoreReply::Granted { lease }
         }
-        (store::StoreAsk::Renew { .. }, 204) => store::StoreReply::Renewed,
-        (store::StoreAsk::Renew { .. }, 404) => store::StoreReply::Lapsed,
-        (store::StoreAsk::List { .. } | store::StoreAsk::Watch { .. }, 200) => {
+        (store::StoreRequest::Renew { .. }, 204) => store::StoreReply::Renewed,
+        (store::StoreRequest::Renew { .. }, 404) => store::StoreReply::Lapsed,
+        (store::StoreRequest::List { .. } | store::StoreRequest::Watch { .. }, 200) => {
             let listed: protocol::ListedBody = serde_json::from_slice(&body).ok()?;
             listed.into_reply()?
         }
--- a/crates/anvil_store/src/platform.rs
+++ b/crates/anvil_store/src/platform.rs
@@ -7,5 +7,5 @@
 /// A trait, because the HTTP client and the fake of the tests both stand behind it.
 pub trait PlatformStore {
     /// Carries out `ask` and waits for its end; a watch waits as long as it says.
-    fn carry_out(&self, ask: &store::StoreAsk) -> store::StoreOutcome;
+    fn carry_out(&self, ask: &store::StoreRequest) -> store::StoreOutcome;
 }
--- a/crates/anvil_store/src/protocol.rs
+++ b/crates/anvil_store/src/protocol.rs
@@ -73,23 +73,26 @@
 }
 
 /// The path and query of a question.
-pub fn target_of(ask: &store::StoreAsk) -> String {
+pub fn target_of(ask: &store::StoreRequest) -> String {
     match ask {
-        store::StoreAsk::Get { key } => format!("/kv/{key}"),
-        store::StoreAsk::Swap {
-            key, base, lease, ..
+        store::StoreRequest::Get { key } => format!("/kv/{key}"),
+        store::StoreRequest::Swap {
+            key,
+            condition: base,
+            lease,
+            ..
         } => {
             let base = match base {
-                store::SwapBase::Absent => "absent".to_owned(),
-                store::SwapBase::At(version) => version.to_string(),
+                store::SwapCondition::Absent => "absent".to_owned(),
+                store::SwapCondition::At(version) => version.to_string(),
             };
             let lease = lease.map(|lease| format!("&lease={lease}"));
             format!("/kv/{key}?base={base}{}", lease.unwrap_or_default())
         }
-        store::StoreAsk::Remove { key, version } => format!("/kv/{key}?base={version}"),
-        store::StoreAsk::Grant { lease } => format!("/leases?millis={}", lease.as_millis()),
-        store::StoreAsk::Renew { lease } => format!("/leases/{lease}"),
-        store::StoreAsk::List {
+        store::StoreRequest::Remove { key, version } => format!("/kv/{key}?base={version}"),
+        store::StoreRequest::Grant { lease } => format!("/leases?millis={}", lease.as_millis()),
+        store::StoreRequest::Renew { lease } => format!("/leases/{lease}"),
+        store::StoreRequest::List {
             prefix,
             after,
             limit,
@@ -98,7 +101,7 @@
             let after = after.unwrap_or_default();
             format!("/list?prefix={prefix}&limit={limit}{after}")
         }
-        store::StoreAsk::Watch { prefix, seen, wait } => {
+        store::StoreRequest::Watch { prefix, seen, wait } => {
             let millis = wait.as_millis();
             format!("/watch?prefix={prefix}&seen={seen}&millis={millis}")
         }
--- a/crates/anvil_types/src/account.rs
+++ b/crates/anvil_types/src/account.rs
@@ -12,7 +12,7 @@
 use crate::name;
 
 /// Longest API key, in bytes.
-pub const KEY_LIMIT: usize = 256;
+pub const MAX_KEY_BYTES: usize = 256;
 
 /// Bytes of a digest.
 const DIGEST_BYTES: usize = 32;
@@ -151,7 +151,7 @@
         let Some(key) = values.next() else {
             return Self::None;
         };
-        let fits = !key.is_empty() && key.len() <= KEY_LIMIT;
+        let fits = !key.is_empty() && key.len() <= MAX_KEY_BYTES;
         // Which of two keys counts would depend on who reads the header.
         match fits && values.next().is_none() {
             true => Self::Key(KeyDigest::of(key)),
--- a/crates/anvil_types/src/context.rs
+++ b/crates/anvil_types/src/context.rs
@@ -69,13 +69,13 @@
     /// The lane of a request whose class is its account's: what the rules say of it decides next, so
     /// that an account's submissions are shed after its lookups.
     #[must_use]
-    pub fn banded(self, by_rule: PriorityClass) -> Self {
+    pub fn with_class_band(self, by_rule: PriorityClass) -> Self {
         let band = PriorityClass::Critical as u8 - by_rule as u8;
         Self(band << BAND_BITS | self.0 >> (u8::BITS - BAND_BITS))
     }
 
     /// The part of a banded lane that is drawn, from zero to one.
-    pub fn drawn_part(self) -> f64 {
+    pub fn random_fraction(self) -> f64 {
         let drawn = self.0 & ((1 << BAND_BITS) - 1);
         f64::from(drawn) / f64::from(1_u8 << BAND_BITS)
     }
@@ -89,7 +89,7 @@
     /// Importance, decided once, at the root.
     pub class: PriorityClass,
     /// What the rules said of it, where the class is that of the client account.
-    pub by_rule: Option<PriorityClass>,
+    pub rule_class: Option<PriorityClass>,
     /// Shedding order within the class, decided once, at the root.
     pub lane: LaneHash,
     /// Time left until the caller stops waiting, in microseconds.
@@ -105,5 +105,5 @@
     /// The key that names a non-idempotent action, where the caller sent one.
     pub key: Option<ident::RequestKey>,
     /// The digest by which resends of the same request are recognised.
-    pub print: ident::PrintHash,
+    pub fingerprint: ident::RequestFingerprint,
 }
--- a/crates/anvil_types/src/ident.rs
+++ b/crates/anvil_types/src/ident.rs
@@ -92,7 +92,7 @@
     Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[display("{_0:016x}")]
-pub struct PrintHash(pub u64);
+pub struct RequestFingerprint(pub u64);
 
 /// A revision of the operators' rules; zero stands for the built-in rules of a fresh fleet.
 #[derive(
--- a/crates/anvil_types/src/name.rs
+++ b/crates/anvil_types/src/name.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 /// The longest name accepted, in bytes; it keeps membership messages small.
-pub const NAME_LIMIT: usize = 63;
+pub const MAX_NAME_BYTES: usize = 63;
 
 /// Why a name was refused.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error)]
@@ -14,8 +14,8 @@
     /// The name holds no character.
     #[display("a name must not be empty")]
     Empty,
-    /// The name is longer than [`NAME_LIMIT`].
-    #[display("a name must not be longer than {NAME_LIMIT} bytes")]
+    /// The name is longer than [`MAX_NAME_BYTES`].
+    #[display("a name must not be longer than {MAX_NAME_BYTES} bytes")]
     Long,
     /// The name holds a character outside `a-z`, `0-9` and `-`.
     #[display("a name holds only a-z, 0-9 and '-', not {found:?}")]
@@ -29,7 +29,7 @@
     if text.is_empty() {
         return Err(NameError::Empty);
     }
-    if text.len() > NAME_LIMIT {
+    if text.len() > MAX_NAME_BYTES {
         return Err(NameError::Long);
     }
     let allowed = |c: &char| c.is_ascii_lowercase() || c.is_ascii_digit() || *c == '-';
--- a/crates/anvil_types/src/store.rs
+++ b/crates/anvil_types/src/store.rs
@@ -11,11 +11,11 @@
 use serde::{Deserialize, Serialize};
 
 /// Largest value that the store holds, in bytes.
-pub const VALUE_LIMIT: usize = 1024 * 1024;
+pub const MAX_VALUE_BYTES: usize = 1024 * 1024;
 
 /// The state module that asked, so that the reducer hands the outcome back without a table.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum StorePart {
+pub enum StoreRequester {
     /// Membership, contact entries and rule changes.
     #[display("fleet")]
     Fleet,
@@ -26,10 +26,10 @@
 
 /// One question to the store, unique within a node's run.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-#[display("{part}-{sequence}")]
+#[display("{requester}-{sequence}")]
 pub struct StoreId {
     /// Who asked.
-    pub part: StorePart,
+    pub requester: StoreRequester,
     /// Counts the questions of that part from one.
     pub sequence: u64,
 }
@@ -73,7 +73,7 @@
 
 /// What must stand at a key for a write to take effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum SwapBase {
+pub enum SwapCondition {
     /// Nothing.
     Absent,
     /// The entry of exactly this write.
@@ -82,7 +82,7 @@
 
 /// One question to the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum StoreAsk {
+pub enum StoreRequest {
     /// Read one entry; [`StoreReply::Entry`].
     Get {
         /// Which.
@@ -94,8 +94,8 @@
         /// Which.
         key: StoreKey,
         /// What must stand there.
-        base: SwapBase,
-        /// What to write, at most [`VALUE_LIMIT`] bytes.
+        condition: SwapCondition,
+        /// What to write, at most [`MAX_VALUE_BYTES`] bytes.
         value: Bytes,
         /// The lease that the entry vanishes with.
         lease: Option<LeaseId>,
@@ -183,7 +183,7 @@
         current: Option<StoreEntry>,
     },
     /// A watch asked for writes that the store has forgotten; the entries must be read anew.
-    HistoryLost,
+    HistoryTrimmed,
     /// Proved not to have been carried out: no connection came about, the store refused, or the
     /// node's own call budget held it back.
     Unavailable,
--- a/crates/anvil_types/src/treatment.rs
+++ b/crates/anvil_types/src/treatment.rs
@@ -76,7 +76,7 @@
 
 /// Names the rule that decided, so that every decision can be explained.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RuleMark {
+pub struct RuleReference {
     /// The revision of the rules in force when the request was matched.
     pub revision: ident::RuleRevision,
     /// The place of the rule in the list, from zero; none where the built-in default decided.
--- a/crates/anvil_types/src/verdict.rs
+++ b/crates/anvil_types/src/verdict.rs
@@ -16,7 +16,7 @@
     NotRun(RefusalReason),
     /// Nobody can tell whether it ran.
     #[display("may-have-run")]
-    MayHaveRun(DoubtReason),
+    MayHaveRun(UncertaintyReason),
 }
 
 /// Why a request was refused before it ran.
@@ -96,7 +96,7 @@
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub enum DoubtReason {
+pub enum UncertaintyReason {
     /// The connection broke after the first byte had left.
     #[display("connection-lost")]
     ConnectionLost,
--- a/crates/anvil_wire/src/call.rs
+++ b/crates/anvil_wire/src/call.rs
@@ -4,10 +4,10 @@
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-use crate::{bounded, fate};
+use crate::{bounded, outcome};
 
 /// Most header lines of one request or answer that a node takes from another.
-pub const HEADER_LINES: usize = 1_024;
+pub const MAX_HEADER_LINES: usize = 1_024;
 
 /// One header line; the name is lower case.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -27,8 +27,8 @@
     pub method: String,
     /// Path and query, as sent.
     pub path: String,
-    /// End-to-end headers, in order; at most [`HEADER_LINES`].
-    #[serde(deserialize_with = "bounded::list::<_, _, HEADER_LINES>")]
+    /// End-to-end headers, in order; at most [`MAX_HEADER_LINES`].
+    #[serde(deserialize_with = "bounded::list::<_, _, MAX_HEADER_LINES>")]
     pub headers: Vec<HeaderLine>,
     /// The whole body.
     pub body: Bytes,
@@ -39,8 +39,8 @@
 pub struct CallAnswer {
     /// HTTP status.
     pub status: u16,
-    /// End-to-end headers, in order; at most [`HEADER_LINES`].
-    #[serde(deserialize_with = "bounded::list::<_, _, HEADER_LINES>")]
+    /// End-to-end headers, in order; at most [`MAX_HEADER_LINES`].
+    #[serde(deserialize_with = "bounded::list::<_, _, MAX_HEADER_LINES>")]
     pub headers: Vec<HeaderLine>,
     /// The whole body.
     pub body: Bytes,
@@ -94,7 +94,7 @@
     /// What the entry node's rules decided.
     pub treatment: treatment::RuleTreatment,
     /// Which rule decided.
-    pub mark: treatment::RuleMark,
+    pub rule: treatment::RuleReference,
     /// The client account that the root request is sent for, which the target is told.
     pub account: Option<name::AccountName>,
     /// The caller's own id of the request, where it named one.
@@ -105,8 +105,8 @@
 
 impl PeerCall {
     /// Which attempt it is.
-    pub fn attempt_id(&self) -> fate::AttemptId {
-        fate::AttemptId {
+    pub fn attempt_id(&self) -> outcome::AttemptId {
+        outcome::AttemptId {
             call: self.call,
             attempt: self.attempt,
         }
@@ -135,8 +135,8 @@
 
 impl PeerAnswer {
     /// The attempt that it answers.
-    pub fn attempt_id(&self) -> fate::AttemptId {
-        fate::AttemptId {
+    pub fn attempt_id(&self) -> outcome::AttemptId {
+        outcome::AttemptId {
             call: self.call,
             attempt: self.attempt,
         }
--- a/crates/anvil_wire/src/codec.rs
+++ b/crates/anvil_wire/src/codec.rs
@@ -5,10 +5,10 @@
 use crate::frame;
 
 /// Largest body of a request or an answer, in bytes; see `docs/OPERATIONS.md`.
-pub const BODY_LIMIT: usize = 8 * 1024 * 1024;
+pub const MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
 
 /// Largest encoded frame, in bytes: a body at its limit, its headers and the context.
-pub const FRAME_LIMIT: usize = BODY_LIMIT + 256 * 1024;
+pub const MAX_FRAME_BYTES: usize = MAX_BODY_BYTES + 256 * 1024;
 
 /// Bytes of the length that precedes each frame, big-endian.
 pub const LENGTH_BYTES: usize = 4;
@@ -16,7 +16,7 @@
 /// Why a frame was refused.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error)]
 pub enum FrameError {
-    /// The length is above [`FRAME_LIMIT`].
+    /// The length is above [`MAX_FRAME_BYTES`].
     #[display("a frame of {length} bytes is above the limit")]
     Oversized {
         /// The length announced.
@@ -33,12 +33,12 @@
 
 /// Encodes one frame with its length in front.
 ///
-/// Fails where the frame is above [`FRAME_LIMIT`].
+/// Fails where the frame is above [`MAX_FRAME_BYTES`].
 pub fn encode_frame(frame: &frame::PeerFrame) -> Result<Vec<u8>, FrameError> {
     let bytes = postcard::to_extend(frame, vec![0; LENGTH_BYTES]);
     let mut bytes = bytes.map_err(|error| malformed(&error))?;
     let length = bytes.len() - LENGTH_BYTES;
-    if length > FRAME_LIMIT {
+    if length > MAX_FRAME_BYTES {
         return Err(FrameError::Oversized { length });
     }
     let prefix = u32::try_from(length).map_err(|_| FrameError::Oversized { length })?;
@@ -49,7 +49,7 @@
 /// Checks the length in front of a frame, so that no peer makes a node reserve more.
 pub fn check_length(prefix: [u8; LENGTH_BYTES]) -> Result<usize, FrameError> {
     let length = u32::from_be_bytes(prefix) as usize;
-    if length > FRAME_LIMIT {
+    if length > MAX_FRAME_BYTES {
         return Err(FrameError::Oversized { length });
     }
     Ok(length)
--- a/crates/anvil_wire/src/pack.rs
+++ b/crates/anvil_wire/src/compression.rs
@@ -55,14 +55,14 @@
 
 /// Packs the frames of one direction, in the order in which they leave.
 #[derive(Debug, Default)]
-pub struct FramePacker {
+pub struct FrameCompressor {
     history: FrameHistory,
 }
 
-impl FramePacker {
+impl FrameCompressor {
     /// Packs a frame as [`codec::encode_frame`] made it, with its length in front, where that makes it
     /// smaller. Frames must leave in the order in which they are packed.
-    pub fn pack(&mut self, encoded: Vec<u8>) -> Vec<u8> {
+    pub fn compress(&mut self, encoded: Vec<u8>) -> Vec<u8> {
         let plain = encoded.get(codec::LENGTH_BYTES..).unwrap_or_default();
         let packed = self.packed(plain);
         self.history.keep(plain);
@@ -89,14 +89,14 @@
 
 /// Unpacks the frames of one direction, in the order in which they came.
 #[derive(Debug, Default)]
-pub struct FrameUnpacker {
+pub struct FrameDecompressor {
     history: FrameHistory,
 }
 
-impl FrameUnpacker {
+impl FrameDecompressor {
     /// The plain bytes of a frame, for [`codec::decode_frame`]. After an error the connection must be
     /// closed, since what follows refers to what was lost.
-    pub fn unpack<'a>(&mut self, bytes: &'a [u8]) -> Result<Cow<'a, [u8]>, codec::FrameError> {
+    pub fn decompress<'a>(&mut self, bytes: &'a [u8]) -> Result<Cow<'a, [u8]>, codec::FrameError> {
         let plain = match bytes.split_first() {
             Some((&PACKED, rest)) => Cow::Owned(self.unpacked(rest)?),
             _ => Cow::Borrowed(bytes),
--- a/crates/anvil_wire/src/frame.rs
+++ b/crates/anvil_wire/src/frame.rs
@@ -3,7 +3,7 @@
 use anvil_types::ident;
 use serde::{Deserialize, Serialize};
 
-use crate::{call, fate, gossip, key, suspicion};
+use crate::{call, gossip, key, outcome, suspicion};
 
 /// The version of the protocol; nodes of different versions refuse each other's handshake.
 pub const PROTOCOL_VERSION: u16 = 7;
@@ -40,7 +40,7 @@
     /// Membership and rules in bulk.
     Sync(Box<gossip::SyncMessage>),
     /// What became of attempts whose connection ended.
-    Fate(Box<fate::FateMessage>),
+    Outcome(Box<outcome::OutcomeMessage>),
     /// Asks for a [`PeerFrame::Pong`], since answers are due and nothing came for a while.
     Ping,
     /// Answers a [`PeerFrame::Ping`].
--- a/crates/anvil_wire/src/gossip.rs
+++ b/crates/anvil_wire/src/gossip.rs
@@ -6,25 +6,25 @@
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-use crate::{bounded, farewell, quota};
+use crate::{bounded, quota, shutdown};
 
 /// Most claims on a datagram.
-pub const UPDATES_LIMIT: usize = 128;
+pub const MAX_DATAGRAM_UPDATES: usize = 128;
 
 /// Most claims in a bulk message, about 80 kB of them.
-pub const BULK_LIMIT: usize = 1_000;
+pub const MAX_BULK_UPDATES: usize = 1_000;
 
 /// Most sums in a digest.
-pub const BUCKETS_LIMIT: usize = 2_048;
+pub const MAX_DIGEST_BUCKETS: usize = 2_048;
 
 /// Most members that a bulk message names in short; four times the largest fleet foreseen.
-pub const MEMBERS_LIMIT: usize = 65_536;
+pub const MAX_MEMBER_HEADERS: usize = 65_536;
 
 /// Most changes in a message.
-pub const CHANGES_LIMIT: usize = 1_024;
+pub const MAX_CHANGES: usize = 1_024;
 
 /// Most lagging members named in a census.
-pub const LAGGING_LIMIT: usize = 8;
+pub const MAX_LAGGING_MEMBERS: usize = 8;
 
 /// What a node tells about itself; the others keep it as told.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -49,7 +49,7 @@
 
 /// How a member stands, in the order in which claims of one incarnation override each other.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum MemberStanding {
+pub enum MemberStatus {
     /// Alive, with the facts of this incarnation.
     Alive(Box<MemberFacts>),
     /// Did not answer `by`'s probe; it has some seconds to refute.
@@ -58,7 +58,7 @@
         by: ident::NodeId,
     },
     /// Did not refute a suspicion.
-    Gone,
+    Dead,
     /// Said that it left.
     Left,
 }
@@ -71,7 +71,7 @@
     /// The member's own counter of its claims; only the member raises it.
     pub incarnation: u32,
     /// The claim.
-    pub standing: MemberStanding,
+    pub status: MemberStatus,
 }
 
 /// One member in short, to find what two nodes know differently.
@@ -144,7 +144,7 @@
     /// Carries updates only, sent at once when something changed.
     Rumour,
     /// The receiver is unknown to the sender and should tell its facts.
-    Introduce,
+    FactsRequest,
     /// Asks for the accepted changes behind `after`.
     PullChanges {
         /// The revision that the asker holds.
@@ -153,18 +153,18 @@
     /// Accepted changes that fit a datagram, in order.
     Changes {
         /// The changes.
-        #[serde(deserialize_with = "bounded::list::<_, _, CHANGES_LIMIT>")]
+        #[serde(deserialize_with = "bounded::list::<_, _, MAX_CHANGES>")]
         changes: Vec<LoggedChange>,
     },
     /// The store's history was cut, as the sender's watch shows; a receiver that holds a contact slot looks
     /// whether its lease still runs.
-    CheckContact,
+    CheckContactLease,
     /// A question or reply about who has a revision in force.
     Census(CensusMessage),
     /// Between entry nodes and homes of client accounts; membership takes only the head of it.
     Quota(quota::QuotaMessage),
     /// Between a node that stops and the others; membership takes only the head and the claims of it.
-    Farewell(farewell::FarewellMessage),
+    Shutdown(shutdown::ShutdownMessage),
 }
 
 /// One datagram between nodes.
@@ -175,7 +175,7 @@
     /// What it is for.
     pub kind: GossipKind,
     /// Claims about members, a few at a time.
-    #[serde(deserialize_with = "bounded::list::<_, _, UPDATES_LIMIT>")]
+    #[serde(deserialize_with = "bounded::list::<_, _, MAX_DATAGRAM_UPDATES>")]
     pub updates: Vec<MemberUpdate>,
 }
 
@@ -183,7 +183,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CensusMessage {
     /// Asks the receiver to count the members from `first` to `last`, both included.
-    Ask {
+    Query {
         /// The asker's number of the question.
         census: u32,
         /// The revision asked about.
@@ -214,7 +214,7 @@
     /// Members that did not answer in time.
     pub silent: u32,
     /// Some of the members behind or silent, a few.
-    #[serde(deserialize_with = "bounded::list::<_, _, LAGGING_LIMIT>")]
+    #[serde(deserialize_with = "bounded::list::<_, _, MAX_LAGGING_MEMBERS>")]
     pub lagging: Vec<ident::NodeId>,
 }
 
@@ -227,11 +227,11 @@
         /// The sender.
         head: GossipHead,
         /// One sum for each bucket; their number is a power of two, or zero.
-        #[serde(deserialize_with = "bounded::list::<_, _, BUCKETS_LIMIT>")]
+        #[serde(deserialize_with = "bounded::list::<_, _, MAX_DIGEST_BUCKETS>")]
         sums: Vec<u32>,
         /// What a sender that has just started says of itself, since the receiver may not have
         /// heard of it; else empty.
-        #[serde(deserialize_with = "bounded::list::<_, _, UPDATES_LIMIT>")]
+        #[serde(deserialize_with = "bounded::list::<_, _, MAX_DATAGRAM_UPDATES>")]
         sender: Vec<MemberUpdate>,
     },
     /// The members alive in the buckets whose sums differed.
@@ -241,10 +241,10 @@
         /// Number of buckets in all.
         buckets: u32,
         /// The buckets that differed.
-        #[serde(deserialize_with = "bounded::list::<_, _, BUCKETS_LIMIT>")]
+        #[serde(deserialize_with = "bounded::list::<_, _, MAX_DIGEST_BUCKETS>")]
         differing: Vec<u32>,
         /// The members that the sender knows alive in them.
-        #[serde(deserialize_with = "bounded::list::<_, _, MEMBERS_LIMIT>")]
+        #[serde(deserialize_with = "bounded::list::<_, _, MAX_MEMBER_HEADERS>")]
         headers: Vec<MemberHeader>,
     },
     /// Claims that the receiver lacks, and identities whose claims the sender lacks.
@@ -252,10 +252,10 @@
         /// The sender.
         head: GossipHead,
         /// The claims.
-        #[serde(deserialize_with = "bounded::list::<_, _, BULK_LIMIT>")]
+        #[serde(deserialize_with = "bounded::list::<_, _, MAX_BULK_UPDATES>")]
         updates: Vec<MemberUpdate>,
         /// The identities.
-        #[serde(deserialize_with = "bounded::list::<_, _, MEMBERS_LIMIT>")]
+        #[serde(deserialize_with = "bounded::list::<_, _, MAX_MEMBER_HEADERS>")]
         wanted: Vec<ident::NodeId>,
         /// Whether the receiver knows with it all members that the sender knows alive.
         last: bool,
@@ -268,7 +268,7 @@
         /// The whole rules at a revision, where the changes alone don't suffice.
         snapshot: Option<LoggedChange>,
         /// The changes behind the snapshot or behind the receiver's revision.
-        #[serde(deserialize_with = "bounded::list::<_, _, CHANGES_LIMIT>")]
+        #[serde(deserialize_with = "bounded::list::<_, _, MAX_CHANGES>")]
         changes: Vec<LoggedChange>,
     },
 }
--- a/crates/anvil_wire/src/key.rs
+++ b/crates/anvil_wire/src/key.rs
@@ -57,7 +57,7 @@
     /// The call was answered whole; the answer itself is kept while space and time allow.
     Answered(Option<Box<call::CallAnswer>>),
     /// The call ended and nobody can tell whether it ran.
-    Doubtful(verdict::DoubtReason),
+    Uncertain(verdict::UncertaintyReason),
 }
 
 /// One recorded key, as it travels from the primary to the backup.
@@ -66,7 +66,7 @@
     /// The key.
     pub key: ident::RequestKey,
     /// The digest of the request, so that a key used for another request is noticed.
-    pub print: ident::PrintHash,
+    pub fingerprint: ident::RequestFingerprint,
     /// The only call that may ever run the key.
     pub call: ident::CallId,
     /// Counts the changes of the slot's records, so that a late copy never replaces a newer one.
@@ -85,7 +85,7 @@
     /// Proved not to have run, and the call will never run it: the key is free again.
     NotRun,
     /// Nobody can tell.
-    MayHaveRun(verdict::DoubtReason),
+    MayHaveRun(verdict::UncertaintyReason),
 }
 
 /// Why a key was not granted.
@@ -94,7 +94,7 @@
     /// An earlier copy of the request was answered; here is that answer.
     Answered(Box<call::CallAnswer>),
     /// An earlier copy holds the key or ended in doubt.
-    MayHaveRun(verdict::DoubtReason),
+    MayHaveRun(verdict::UncertaintyReason),
     /// The key was used for another request.
     Mismatch,
     /// The owner can't grant for longer than a caller waits.
@@ -109,13 +109,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum KeyMessage {
     /// Entry to primary: may this call run the key?
-    Ask {
+    Request {
         /// The call, which is the only one that will run under the grant.
         call: ident::CallId,
         /// The key.
         key: ident::RequestKey,
         /// The digest of the request.
-        print: ident::PrintHash,
+        fingerprint: ident::RequestFingerprint,
     },
     /// Primary to entry: this call may run the key, and no other ever will.
     Grant {
@@ -185,7 +185,7 @@
         /// The records of the part.
         records: Vec<KeyRecord>,
         /// Time for which unknown keys are still answered as may-have-run, in microseconds.
-        doubt_micros: u64,
+        uncertain_micros: u64,
     },
     /// Backup to primary: the part is kept.
     Copied {
--- a/crates/anvil_wire/src/lib.rs
+++ b/crates/anvil_wire/src/lib.rs
@@ -6,12 +6,12 @@
 pub mod bounded;
 pub mod call;
 pub mod codec;
-pub mod farewell;
-pub mod fate;
+pub mod compression;
 pub mod frame;
 pub mod gossip;
 pub mod key;
-pub mod pack;
+pub mod outcome;
 pub mod quota;
 pub mod seal;
+pub mod shutdown;
 pub mod suspicion;
--- a/crates/anvil_wire/src/fate.rs
+++ b/crates/anvil_wire/src/outcome.rs
@@ -11,7 +11,7 @@
 use crate::bounded;
 
 /// Most attempts that one message names; more go in several.
-pub const MOST_ATTEMPTS: usize = 1_024;
+pub const MAX_ATTEMPTS: usize = 1_024;
 
 /// One attempt of one call.
 #[derive(
@@ -27,7 +27,7 @@
 
 /// An attempt whose fate its entry node wants to know.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct AskedAttempt {
+pub struct QueriedAttempt {
     /// Which attempt.
     pub id: AttemptId,
     /// Time since it was sent, in microseconds; an answer about it must rest on a memory that
@@ -39,15 +39,15 @@
 
 /// What two nodes tell each other of the attempts that were on a connection which ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum FateMessage {
+pub enum OutcomeMessage {
     /// The entry node asks what became of attempts. Each that has ended, or never came, is answered
     /// like any attempt; those that the target's node still has are told as held.
-    Ask {
+    Query {
         /// Where the sender accepts the answers.
         reply_to: SocketAddr,
         /// The attempts.
-        #[serde(deserialize_with = "bounded::list::<_, _, MOST_ATTEMPTS>")]
-        attempts: Vec<AskedAttempt>,
+        #[serde(deserialize_with = "bounded::list::<_, _, MAX_ATTEMPTS>")]
+        attempts: Vec<QueriedAttempt>,
     },
     /// The sender is about to end. The receiver asks at once for what it has out there, if only to say
     /// that it is nothing.
@@ -57,11 +57,11 @@
     },
     /// The target's node tells which attempts of the receiver it still has, queued or running; the
     /// receiver cancels those that it does not wait for.
-    Held {
+    Pending {
         /// Where the sender accepts the cancellations.
         reply_to: SocketAddr,
         /// The attempts.
-        #[serde(deserialize_with = "bounded::list::<_, _, MOST_ATTEMPTS>")]
+        #[serde(deserialize_with = "bounded::list::<_, _, MAX_ATTEMPTS>")]
         attempts: Vec<AttemptId>,
     },
 }
--- a/crates/anvil_wire/src/quota.rs
+++ b/crates/anvil_wire/src/quota.rs
@@ -11,11 +11,11 @@
 use crate::bounded;
 
 /// Most accounts in a message; they fit a datagram.
-pub const ACCOUNTS_LIMIT: usize = 32;
+pub const MAX_ACCOUNTS: usize = 32;
 
 /// What an entry node has let in for one account, and what it waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct UseReport {
+pub struct UsageReport {
     /// The account.
     pub account: account::AccountId,
     /// The entry node's session with the receiver; sums start anew with each.
@@ -27,7 +27,7 @@
     /// Requests that waited for a grant.
     pub asked: u32,
     /// Whether nodes that come before the receiver did not answer, so that it has to stand in for them.
-    pub stands_in: bool,
+    pub failover: bool,
 }
 
 /// A node that counts an account, as another one knows.
@@ -43,7 +43,7 @@
 
 /// What an account's home decides for one entry node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct UseVerdict {
+pub struct UsageDecision {
     /// The account.
     pub account: account::AccountId,
     /// The session of the report answered.
@@ -59,23 +59,23 @@
     /// Requests that the node may let in ahead, beyond those reported; zero where each has to ask.
     pub ahead: u16,
     /// When a refused caller does well to come back, in milliseconds.
-    pub pause_millis: u32,
+    pub retry_after_millis: u32,
     /// Who counts the account instead; nothing was counted here then.
-    pub instead: Option<HomeHint>,
+    pub redirect: Option<HomeHint>,
 }
 
 /// Most slices of time in a handover.
-pub const SLICES_LIMIT: usize = 20;
+pub const MAX_SLICES: usize = 20;
 
 /// What a node let in for an account that another node counts too, or counts now.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct UseHandover {
+pub struct UsageHandover {
     /// The account.
     pub account: account::AccountId,
     /// Counts the sender's handovers, so that one which comes twice is taken once.
     pub number: u32,
     /// Requests let in, less those given back, by slices of a quarter of a second, the newest first.
-    #[serde(deserialize_with = "bounded::list::<_, _, SLICES_LIMIT>")]
+    #[serde(deserialize_with = "bounded::list::<_, _, MAX_SLICES>")]
     pub slices: Vec<i32>,
 }
 
@@ -85,23 +85,23 @@
     /// From an entry node.
     Report {
         /// One entry for each account.
-        #[serde(deserialize_with = "bounded::list::<_, _, ACCOUNTS_LIMIT>")]
-        uses: Vec<UseReport>,
+        #[serde(deserialize_with = "bounded::list::<_, _, MAX_ACCOUNTS>")]
+        reports: Vec<UsageReport>,
     },
     /// From a home.
-    Verdict {
+    Decision {
         /// One entry for each account.
-        #[serde(deserialize_with = "bounded::list::<_, _, ACCOUNTS_LIMIT>")]
-        verdicts: Vec<UseVerdict>,
+        #[serde(deserialize_with = "bounded::list::<_, _, MAX_ACCOUNTS>")]
+        decisions: Vec<UsageDecision>,
     },
     /// From a node to the next one on its ring, which may not have heard of it yet.
-    Behind,
-    /// The answer, where the receiver of [`QuotaMessage::Behind`] knows a node that stands nearer.
-    Between(HomeHint),
+    SuccessorProbe,
+    /// The answer, where the receiver of [`QuotaMessage::SuccessorProbe`] knows a node that stands nearer.
+    CloserSuccessor(HomeHint),
     /// From a node that counted an account to its home.
-    Handover(UseHandover),
+    Handover(UsageHandover),
     /// From a home that has taken a handover.
-    Taken {
+    HandoverAck {
         /// The handover's number.
         number: u32,
     },
--- a/crates/anvil_wire/src/seal.rs
+++ b/crates/anvil_wire/src/seal.rs
@@ -60,7 +60,7 @@
     OwnIdentity,
     /// Another node than the expected one answers at the address.
     #[display("node {found} answers in place of {expected}")]
-    OtherPeer {
+    UnexpectedPeer {
         /// Who was expected.
         expected: ident::NodeId,
         /// Who answers.
--- a/crates/anvil_wire/src/seal/datagram.rs
+++ b/crates/anvil_wire/src/seal/datagram.rs
@@ -18,10 +18,10 @@
 pub const OVERHEAD_BYTES: usize = HEADER_BYTES + seal::TAG_BYTES;
 
 /// Largest sealed datagram, in bytes; it fits an Ethernet frame with IPv6 and UDP headers.
-pub const DATAGRAM_LIMIT: usize = 1_400;
+pub const MAX_DATAGRAM_BYTES: usize = 1_400;
 
 /// Largest payload, in bytes.
-pub const PAYLOAD_LIMIT: usize = DATAGRAM_LIMIT - OVERHEAD_BYTES;
+pub const MAX_PAYLOAD_BYTES: usize = MAX_DATAGRAM_BYTES - OVERHEAD_BYTES;
 
 /// Seals the datagrams that one node sends.
 #[derive(Debug)]
@@ -60,16 +60,16 @@
 
     /// Seals `payload` for the node at `to`.
     ///
-    /// Fails where the payload is above [`PAYLOAD_LIMIT`].
+    /// Fails where the payload is above [`MAX_PAYLOAD_BYTES`].
     pub fn seal(&mut self, to: SocketAddr, payload: &[u8]) -> Result<Vec<u8>, seal::SealError> {
-        if payload.len() > PAYLOAD_LIMIT {
+        if payload.len() > MAX_PAYLOAD_BYTES {
             return Err(seal::SealError::Oversized {
                 length: payload.len(),
-                limit: PAYLOAD_LIMIT,
+                limit: MAX_PAYLOAD_BYTES,
             });
         }
         self.sequence += 1;
-        let key = self.ring.sending();
+        let key = self.ring.sending_key();
         let mut bytes = Vec::with_capacity(OVERHEAD_BYTES + payload.len());
         bytes.push(FORMAT);
         bytes.extend_from_slice(&key.id().0.to_be_bytes());
@@ -97,10 +97,10 @@
 
     /// Checks a datagram; nothing is allocated before its tag is known to fit.
     pub fn open<'a>(&mut self, bytes: &'a [u8]) -> Result<OpenedDatagram<'a>, seal::SealError> {
-        if bytes.len() > DATAGRAM_LIMIT {
+        if bytes.len() > MAX_DATAGRAM_BYTES {
             return Err(seal::SealError::Oversized {
                 length: bytes.len(),
-                limit: DATAGRAM_LIMIT,
+                limit: MAX_DATAGRAM_BYTES,
             });
         }
         let split = bytes.len().checked_sub(seal::TAG_BYTES);
