--- a/crates/anvil_wire/src/seal/handshake.rs
+++ b/crates/anvil_wire/src/seal/handshake.rs
@@ -16,7 +16,7 @@
 use crate::{codec, frame, seal};
 
 /// Largest message, in bytes, so that a stranger can't make a node reserve a frame's worth.
-pub const MESSAGE_LIMIT: usize = 256;
+pub const MAX_MESSAGE_BYTES: usize = 256;
 
 /// Bytes of a nonce.
 pub const NONCE_BYTES: usize = 32;
@@ -70,8 +70,8 @@
 /// Checks the length in front of a message.
 pub fn check_length(prefix: [u8; codec::LENGTH_BYTES]) -> Result<usize, seal::SealError> {
     let length = u32::from_be_bytes(prefix) as usize;
-    if length > MESSAGE_LIMIT {
-        let limit = MESSAGE_LIMIT;
+    if length > MAX_MESSAGE_BYTES {
+        let limit = MAX_MESSAGE_BYTES;
         return Err(seal::SealError::Oversized { length, limit });
     }
     Ok(length)
@@ -84,7 +84,7 @@
         own: frame::PeerHello,
         nonce: HandshakeNonce,
     ) -> Result<(Self, Vec<u8>), seal::SealError> {
-        let key = ring.sending().clone();
+        let key = ring.sending_key().clone();
         let message = HelloMessage {
             hello: own.clone(),
             key: key.id(),
@@ -110,7 +110,7 @@
         check_peer(&self.own, &message.hello)?;
         let found = message.hello.node;
         if let Some(expected) = expected.filter(|expected| *expected != found) {
-            return Err(seal::SealError::OtherPeer { expected, found });
+            return Err(seal::SealError::UnexpectedPeer { expected, found });
         }
         let proof = encode(&ProofMessage {
             tag: keys.tag(INITIATOR_ROLE),
@@ -220,8 +220,8 @@
     let bytes = postcard::to_extend(message, vec![0; codec::LENGTH_BYTES]);
     let mut bytes = bytes.map_err(|error| seal::SealError::malformed(&error))?;
     let length = bytes.len() - codec::LENGTH_BYTES;
-    if length > MESSAGE_LIMIT {
-        let limit = MESSAGE_LIMIT;
+    if length > MAX_MESSAGE_BYTES {
+        let limit = MAX_MESSAGE_BYTES;
         return Err(seal::SealError::Oversized { length, limit });
     }
     // The limit is far below what four bytes can tell.
--- a/crates/anvil_wire/src/seal/replay.rs
+++ b/crates/anvil_wire/src/seal/replay.rs
@@ -3,10 +3,10 @@
 use anvil_types::{ident, sorted};
 
 /// Datagrams of one sender that may arrive out of order and still be accepted.
-pub const WINDOW: u64 = 64;
+pub const WINDOW_DATAGRAMS: u64 = 64;
 
 /// Senders remembered, about twice the members of the largest fleet; 32 bytes each.
-pub const SENDER_LIMIT: usize = 32_768;
+pub const MAX_SENDERS: usize = 32_768;
 
 /// What was seen of one sender.
 #[derive(Clone, Copy, Debug)]
@@ -40,7 +40,7 @@
             window.heard = self.asked;
             return window.accept(sequence);
         }
-        if self.windows.len() >= SENDER_LIMIT {
+        if self.windows.len() >= MAX_SENDERS {
             self.evict();
         }
         let window = SenderWindow {
@@ -80,7 +80,7 @@
     fn accept(&mut self, sequence: u64) -> bool {
         if sequence > self.highest {
             let ahead = sequence - self.highest;
-            self.seen = if ahead < WINDOW {
+            self.seen = if ahead < WINDOW_DATAGRAMS {
                 self.seen << ahead
             } else {
                 0
@@ -90,7 +90,7 @@
             return true;
         }
         let behind = self.highest - sequence;
-        if behind >= WINDOW {
+        if behind >= WINDOW_DATAGRAMS {
             return false;
         }
         let bit = 1 << behind;
--- a/crates/anvil_wire/src/seal/ring.rs
+++ b/crates/anvil_wire/src/seal/ring.rs
@@ -9,10 +9,10 @@
 use sha2::Sha256;
 
 /// Least length of a secret, in bytes: the output of the hash, below which guessing gets easier.
-pub const SECRET_BYTES: usize = 32;
+pub const MIN_SECRET_BYTES: usize = 32;
 
 /// Most keys of one node; a rotation needs two.
-pub const KEY_LIMIT: usize = 8;
+pub const MAX_KEYS: usize = 8;
 
 /// Separates the tags of datagrams from those of streams made with the same secret.
 const DATAGRAM_PURPOSE: &[u8] = b"anvilworks datagram 1";
@@ -33,10 +33,10 @@
     #[display("at least one key is needed")]
     Empty,
     /// There are too many keys.
-    #[display("at most {KEY_LIMIT} keys are accepted")]
+    #[display("at most {MAX_KEYS} keys are accepted")]
     TooMany,
     /// A secret is too short.
-    #[display("the secret of key {id} is shorter than {SECRET_BYTES} bytes")]
+    #[display("the secret of key {id} is shorter than {MIN_SECRET_BYTES} bytes")]
     Short {
         /// Which.
         id: KeyId,
@@ -60,9 +60,9 @@
 impl SealKey {
     /// Derives what is needed from a secret.
     ///
-    /// Fails where the secret is shorter than [`SECRET_BYTES`].
+    /// Fails where the secret is shorter than [`MIN_SECRET_BYTES`].
     pub fn new(id: KeyId, secret: &[u8]) -> Result<Self, KeyError> {
-        if secret.len() < SECRET_BYTES {
+        if secret.len() < MIN_SECRET_BYTES {
             return Err(KeyError::Short { id });
         }
         let root = TagMaker::new(secret);
@@ -109,7 +109,7 @@
         if keys.is_empty() {
             return Err(KeyError::Empty);
         }
-        if keys.len() > KEY_LIMIT {
+        if keys.len() > MAX_KEYS {
             return Err(KeyError::TooMany);
         }
         for (index, key) in keys.iter().enumerate() {
@@ -121,7 +121,7 @@
     }
 
     /// The key that this node sends with.
-    pub fn sending(&self) -> &SealKey {
+    pub fn sending_key(&self) -> &SealKey {
         &self.keys[0]
     }
 
--- a/crates/anvil_wire/src/farewell.rs
+++ b/crates/anvil_wire/src/shutdown.rs
@@ -6,11 +6,11 @@
 
 /// One word of a planned stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum FarewellMessage {
+pub enum ShutdownMessage {
     /// The sender takes no more runs and is about to end; the receiver says that it has heard so.
     Stopping,
     /// The sender has heard of the receiver's stop and sends it no more calls.
-    Heard {
+    Acknowledged {
         /// Whether calls of the sender are out at the receiver, which may not have come there.
         calls_out: bool,
     },
--- a/crates/anvil_wire/src/suspicion.rs
+++ b/crates/anvil_wire/src/suspicion.rs
@@ -5,7 +5,7 @@
 
 /// Names one crash of one target, so that a notice heard twice counts once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct CrashMark {
+pub struct CrashId {
     /// The node beside the target.
     pub node: ident::NodeId,
     /// Counts the crashes beside that node from one; zero where the whole node was lost.
@@ -14,9 +14,9 @@
 
 /// One request that was running when a target crashed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PrintStrike {
+pub struct SuspectRequest {
     /// Which request.
-    pub print: ident::PrintHash,
+    pub fingerprint: ident::RequestFingerprint,
     /// Whether no other suspect ran beside it.
     pub alone: bool,
     /// Crashes that its rule allows.
@@ -29,9 +29,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspicionNotice {
     /// The crash.
-    pub crash: CrashMark,
+    pub crash: CrashId,
     /// The service of the target.
     pub service: name::ServiceName,
     /// The requests.
-    pub strikes: Vec<PrintStrike>,
+    pub suspects: Vec<SuspectRequest>,
 }
--- a/crates/anvil_wire/tests/pack.rs
+++ b/crates/anvil_wire/tests/compression.rs
@@ -2,7 +2,7 @@
 
 use anvil_testkit::test_cases;
 use anvil_types::{context, ident, name, treatment};
-use anvil_wire::{call, codec, frame, pack};
+use anvil_wire::{call, codec, compression, frame};
 use proptest::{collection, prelude::*};
 
 fn line(name: &str, value: &str) -> call::HeaderLine {
@@ -39,7 +39,7 @@
         context: context::CallContext {
             request: ident::RequestId(u128::from(mixed) << 60),
             class: context::PriorityClass::High,
-            by_rule: None,
+            rule_class: None,
             lane: context::LaneHash(mixed.to_le_bytes()[3]),
             remaining_micros: 700_000 - number % 1_000,
             retries_left: 3,
@@ -47,10 +47,10 @@
             idempotent: true,
             repeat: false,
             key: None,
-            print: ident::PrintHash(mixed),
+            fingerprint: ident::RequestFingerprint(mixed),
         },
         treatment: treatment::RuleTreatment::default(),
-        mark: treatment::RuleMark::default(),
+        rule: treatment::RuleReference::default(),
         label: Some(ident::RequestLabel::new(&format!(
             "{mixed:016x}.{mixed:016x}"
         ))),
@@ -62,10 +62,10 @@
     codec::encode_frame(frame).expect("a frame")
 }
 
-fn unpack(unpacker: &mut pack::FrameUnpacker, bytes: &[u8]) -> frame::PeerFrame {
+fn unpack(unpacker: &mut compression::FrameDecompressor, bytes: &[u8]) -> frame::PeerFrame {
     let (length, rest) = bytes.split_first_chunk().expect("a length");
     assert_eq!(codec::check_length(*length), Ok(rest.len()));
-    let plain = unpacker.unpack(rest).expect("a frame");
+    let plain = unpacker.decompress(rest).expect("a frame");
     codec::decode_frame(&plain).expect("a frame")
 }
 
@@ -77,7 +77,7 @@
     let mut bytes = (0, 0);
     for number in 0..200 {
         let plain = encoded(&call(number, 0));
-        let packed = pack::FramePacker::pack(&mut packer, plain.clone());
+        let packed = compression::FrameCompressor::compress(&mut packer, plain.clone());
         if number > 0 {
             bytes.0 += plain.len();
             bytes.1 += packed.len();
@@ -94,11 +94,11 @@
     // Short and long frames in any order, some too long to be packed: each arrives as it left.
     #[test]
     fn every_frame_arrives_as_it_left(bodies in collection::vec(0_usize..4_000, 1..60)) {
-        let mut packer = pack::FramePacker::default();
-        let mut unpacker = pack::FrameUnpacker::default();
+        let mut packer = compression::FrameCompressor::default();
+        let mut unpacker = compression::FrameDecompressor::default();
         for (number, body) in bodies.into_iter().enumerate() {
             let sent = call(number as u64, body);
-            let packed = packer.pack(encoded(&sent));
+            let packed = packer.compress(encoded(&sent));
             prop_assert!(packed.len() <= encoded(&sent).len());
             prop_assert_eq!(unpack(&mut unpacker, &packed), sent);
         }
@@ -107,17 +107,17 @@
     // Whatever comes in place of a packed frame is refused or is some bytes; nothing panics.
     #[test]
     fn garbage_is_refused_in_peace(bytes in collection::vec(any::<u8>(), 0..300)) {
-        let mut unpacker = pack::FrameUnpacker::default();
+        let mut unpacker = compression::FrameDecompressor::default();
         let mut packed = vec![0x80];
         packed.extend_from_slice(&bytes);
-        if let Ok(plain) = unpacker.unpack(&packed) {
+        if let Ok(plain) = unpacker.decompress(&packed) {
             prop_assert!(plain.len() <= 2_048);
         }
     }
 }
 
 fn malformed_frames_are_refused(bytes: &[u8], reason: &str) {
-    let refused = pack::FrameUnpacker::default().unpack(bytes);
+    let refused = compression::FrameDecompressor::default().decompress(bytes);
     let error = refused.expect_err("a malformed frame").to_string();
     assert!(error.contains(reason), "{error}");
 }
--- a/crates/anvil_wire/tests/decoders.rs
+++ b/crates/anvil_wire/tests/decoders.rs
@@ -189,17 +189,17 @@
     #[test]
     fn lengths_above_the_limits_are_refused(prefix in any::<[u8; 4]>()) {
         let length = u32::from_be_bytes(prefix) as usize;
-        prop_assert_eq!(codec::check_length(prefix).is_ok(), length <= codec::FRAME_LIMIT);
+        prop_assert_eq!(codec::check_length(prefix).is_ok(), length <= codec::MAX_FRAME_BYTES);
         let accepted = handshake::check_length(prefix).is_ok();
-        prop_assert_eq!(accepted, length <= handshake::MESSAGE_LIMIT);
+        prop_assert_eq!(accepted, length <= handshake::MAX_MESSAGE_BYTES);
     }
 }
 
 #[test]
 fn refuses_more_header_lines_than_agreed() {
-    let most = encoded(&answer_frame(header_lines(call::HEADER_LINES), b""));
+    let most = encoded(&answer_frame(header_lines(call::MAX_HEADER_LINES), b""));
     assert!(codec::decode_frame(&most).is_ok());
-    let above = encoded(&answer_frame(header_lines(call::HEADER_LINES + 1), b""));
+    let above = encoded(&answer_frame(header_lines(call::MAX_HEADER_LINES + 1), b""));
     assert!(codec::decode_frame(&above).is_err());
 }
 
@@ -212,7 +212,7 @@
         name: String::new(),
         value: bytes::Bytes::new(),
     };
-    let frame = answer_frame(vec![line; codec::BODY_LIMIT / 2], b"");
+    let frame = answer_frame(vec![line; codec::MAX_BODY_BYTES / 2], b"");
     let bytes = encoded(&frame);
     drop(frame);
     check_memory(&[], || codec::decode_frame(&bytes));
--- a/crates/anvil_wire/tests/seal_datagram.rs
+++ b/crates/anvil_wire/tests/seal_datagram.rs
@@ -109,14 +109,14 @@
 #[test]
 fn refuses_payloads_and_datagrams_above_the_limit() {
     let mut sealer = datagram::DatagramSealer::new(keys(&[1]), SENDER);
-    let fits = vec![0; datagram::PAYLOAD_LIMIT];
+    let fits = vec![0; datagram::MAX_PAYLOAD_BYTES];
     let bytes = sealer.seal(receiver(), &fits).expect("fits");
-    assert_eq!(bytes.len(), datagram::DATAGRAM_LIMIT);
-    let above = vec![0; datagram::PAYLOAD_LIMIT + 1];
+    assert_eq!(bytes.len(), datagram::MAX_DATAGRAM_BYTES);
+    let above = vec![0; datagram::MAX_PAYLOAD_BYTES + 1];
     assert!(sealer.seal(receiver(), &above).is_err());
     assert!(
         opener(&[1])
-            .open(&[0; datagram::DATAGRAM_LIMIT + 1])
+            .open(&[0; datagram::MAX_DATAGRAM_BYTES + 1])
             .is_err()
     );
 }
@@ -126,7 +126,7 @@
     let mut guard = replay::ReplayGuard::default();
     let top = 100;
     assert!(guard.accept(SENDER, top));
-    let inside = top - replay::WINDOW + 1;
+    let inside = top - replay::WINDOW_DATAGRAMS + 1;
     for sequence in (inside..top).rev() {
         assert!(guard.accept(SENDER, sequence), "{sequence}");
         assert!(!guard.accept(SENDER, sequence), "{sequence}");
@@ -152,7 +152,7 @@
         let mut seen: Vec<u64> = Vec::new();
         for sequence in sequences {
             let highest = seen.iter().max().copied().unwrap_or_default();
-            let fresh = !seen.contains(&sequence) && sequence + replay::WINDOW > highest;
+            let fresh = !seen.contains(&sequence) && sequence + replay::WINDOW_DATAGRAMS > highest;
             prop_assert_eq!(guard.accept(SENDER, sequence), fresh);
             if fresh {
                 seen.push(sequence);
@@ -165,14 +165,14 @@
 fn the_sender_silent_for_longest_gives_way() {
     // A fleet restarts nodes for days until the memory for senders is full. Nodes that live must
     // stay guarded against replays, whichever identity they drew.
-    let limit = replay::SENDER_LIMIT as u64;
+    let limit = replay::MAX_SENDERS as u64;
     let mut guard = replay::ReplayGuard::default();
     for sender in 0..limit {
         assert!(guard.accept(ident::NodeId(sender), 1));
     }
     assert!(guard.accept(ident::NodeId(0), 2));
     assert!(guard.accept(ident::NodeId(limit), 1));
-    assert_eq!(guard.len(), replay::SENDER_LIMIT);
+    assert_eq!(guard.len(), replay::MAX_SENDERS);
     assert!(!guard.accept(ident::NodeId(0), 2), "heard just now");
     assert!(guard.accept(ident::NodeId(1), 1), "forgotten");
 }
--- a/crates/anvil_wire/tests/seal_stream.rs
+++ b/crates/anvil_wire/tests/seal_stream.rs
@@ -222,7 +222,7 @@
     let found = ident::NodeId(3);
     assert_eq!(
         error,
-        seal::SealError::OtherPeer {
+        seal::SealError::UnexpectedPeer {
             expected: RESPONDER,
             found
         }
@@ -279,6 +279,6 @@
 
 #[test]
 fn a_stranger_cannot_announce_a_long_message() {
-    let prefix = u32::try_from(handshake::MESSAGE_LIMIT + 1).expect("small");
+    let prefix = u32::try_from(handshake::MAX_MESSAGE_BYTES + 1).expect("small");
     assert!(handshake::check_length(prefix.to_be_bytes()).is_err());
 }
