--- a/crates/anvil_core/src/keys.rs
+++ b/crates/anvil_core/src/keys.rs
@@ -133,7 +133,7 @@
         let ask = moment::KeyEvent::Request {
             call,
             key,
-            fingerprint: open.context.print,
+            fingerprint: open.context.fingerprint,
             wait: open.deadline.since(self.now).min(KEY_WAIT),
         };
         self.tell_keyed(sequence, notes::KeyedStep::Asked);
@@ -329,24 +329,24 @@
 
     fn ask_key_store(&mut self, id: once::SlotRequestId, ask: &once::SlotRequest) {
         let ask = match ask {
-            once::SlotRequest::Read { slot } => store::StoreAsk::Get {
+            once::SlotRequest::Read { slot } => store::StoreRequest::Get {
                 key: key::slot_key(*slot),
             },
             once::SlotRequest::Swap { expected, view } => {
                 let Ok(value) = key::encode_view(view) else {
                     return;
                 };
-                let at = |version: &u64| store::SwapBase::At(store::StoreVersion(*version));
-                store::StoreAsk::Swap {
+                let at = |version: &u64| store::SwapCondition::At(store::StoreVersion(*version));
+                store::StoreRequest::Swap {
                     key: key::slot_key(view.slot),
-                    base: expected.as_ref().map_or(store::SwapBase::Absent, at),
+                    condition: expected.as_ref().map_or(store::SwapCondition::Absent, at),
                     value: Bytes::from(value),
                     lease: None,
                 }
             }
         };
         let id = store::StoreId {
-            part: store::StorePart::Keys,
+            requester: store::StoreRequester::Keys,
             sequence: id.0,
         };
         self.effects.push(effect::NodeEffect::AskStore { id, ask });
@@ -397,7 +397,7 @@
             moment::CallOutcome::Answered(Box::new(answer.clone()))
         }
         (verdict::CallVerdict::Answered, None) => {
-            moment::CallOutcome::MayHaveRun(verdict::DoubtReason::AnswerCut)
+            moment::CallOutcome::MayHaveRun(verdict::UncertaintyReason::AnswerCut)
         }
         (verdict::CallVerdict::NotRun(_), _) => moment::CallOutcome::NotRun,
         (verdict::CallVerdict::MayHaveRun(reason), _) => moment::CallOutcome::MayHaveRun(reason),
--- a/crates/anvil_core/src/settling.rs
+++ b/crates/anvil_core/src/settling.rs
@@ -168,7 +168,7 @@
             routing::AttemptEnd::Unreachable
         }
         verdict::CallVerdict::NotRun(_) => routing::AttemptEnd::Succeeded,
-        verdict::CallVerdict::MayHaveRun(verdict::DoubtReason::Cancelled) => {
+        verdict::CallVerdict::MayHaveRun(verdict::UncertaintyReason::Cancelled) => {
             routing::AttemptEnd::Succeeded
         }
         verdict::CallVerdict::MayHaveRun(_) if answer.failed_below => {
--- a/crates/anvil_membership/src/census.rs
+++ b/crates/anvil_membership/src/census.rs
@@ -107,7 +107,7 @@
 
 /// Adds a lagging member to the list of `count`, unless the list is full.
 pub fn note_lagging(count: &mut gossip::CensusCount, node: ident::NodeId) {
-    if count.lagging.len() < gossip::LAGGING_LIMIT {
+    if count.lagging.len() < gossip::MAX_LAGGING_MEMBERS {
         count.lagging.push(node);
     }
 }
--- a/crates/anvil_membership/src/effect.rs
+++ b/crates/anvil_membership/src/effect.rs
@@ -109,7 +109,7 @@
         /// The id of the request.
         id: store::StoreId,
         /// The request.
-        request: store::StoreAsk,
+        request: store::StoreRequest,
     },
     /// A member became known alive.
     MemberUp(member::MemberView),
--- a/crates/anvil_membership/src/fleet/claims.rs
+++ b/crates/anvil_membership/src/fleet/claims.rs
@@ -17,13 +17,13 @@
             self.apply_self_claim(now, update, out);
             return;
         }
-        match &update.standing {
-            gossip::MemberStanding::Alive(facts) => self.apply_alive(now, update, facts, out),
-            gossip::MemberStanding::Suspect { by } => self.apply_suspect(now, update, *by, out),
-            gossip::MemberStanding::Gone => {
+        match &update.status {
+            gossip::MemberStatus::Alive(facts) => self.apply_alive(now, update, facts, out),
+            gossip::MemberStatus::Suspect { by } => self.apply_suspect(now, update, *by, out),
+            gossip::MemberStatus::Dead => {
                 self.apply_departure(now, update, effect::DepartureReason::Crashed, out);
             }
-            gossip::MemberStanding::Left => {
+            gossip::MemberStatus::Left => {
                 self.apply_departure(now, update, effect::DepartureReason::Left, out);
             }
         }
@@ -34,18 +34,18 @@
         let record = self.table.get(node)?;
         let standing = match record.state {
             member::MemberState::Alive => {
-                gossip::MemberStanding::Alive(Box::new(record.facts.clone()))
+                gossip::MemberStatus::Alive(Box::new(record.facts.clone()))
             }
-            member::MemberState::Suspect => gossip::MemberStanding::Suspect {
+            member::MemberState::Suspect => gossip::MemberStatus::Suspect {
                 by: self.latest_accuser(node),
             },
-            member::MemberState::Gone => gossip::MemberStanding::Gone,
-            member::MemberState::Left => gossip::MemberStanding::Left,
+            member::MemberState::Gone => gossip::MemberStatus::Dead,
+            member::MemberState::Left => gossip::MemberStatus::Left,
         };
         Some(gossip::MemberUpdate {
             node,
             incarnation: record.incarnation,
-            standing,
+            status: standing,
         })
     }
 
@@ -60,7 +60,7 @@
         Some(gossip::MemberUpdate {
             node,
             incarnation: record.facts_incarnation,
-            standing: gossip::MemberStanding::Alive(Box::new(record.facts.clone())),
+            status: gossip::MemberStatus::Alive(Box::new(record.facts.clone())),
         })
     }
 
@@ -77,7 +77,7 @@
         let update = gossip::MemberUpdate {
             node,
             incarnation: record.incarnation,
-            standing: gossip::MemberStanding::Suspect { by: self.local },
+            status: gossip::MemberStatus::Suspect { by: self.local },
         };
         self.apply(now, &update, out);
         self.suspicions.ping_as_accuser(node, now);
@@ -158,7 +158,7 @@
         update: &gossip::MemberUpdate,
         out: &mut Vec<effect::FleetEffect>,
     ) {
-        let alive = member::claimed_state(&update.standing) == member::MemberState::Alive;
+        let alive = member::claimed_state(&update.status) == member::MemberState::Alive;
         if update.incarnation < self.incarnation {
             // The claim is already refuted, but the sender missed the refutation. It would declare
             // this node dead although it acks every ping, so the next datagrams carry the
@@ -312,7 +312,7 @@
         out: &mut Vec<effect::FleetEffect>,
     ) {
         let node = update.node;
-        let rank = (update.incarnation, member::claimed_state(&update.standing));
+        let rank = (update.incarnation, member::claimed_state(&update.status));
         let Some(record) = self.table.get(node).filter(|r| rank > r.rank()) else {
             return;
         };
--- a/crates/anvil_membership/src/fleet/contacts.rs
+++ b/crates/anvil_membership/src/fleet/contacts.rs
@@ -52,7 +52,7 @@
             (
                 store_requests::RequestPurpose::GrantLease { slot },
                 store::StoreOutcome::Done(store::StoreReply::Granted { lease }),
-            ) => self.claim_slot(now, slot, lease, store::SwapBase::Absent, out),
+            ) => self.claim_slot(now, slot, lease, store::SwapCondition::Absent, out),
             (
                 store_requests::RequestPurpose::ClaimSlot { slot, lease },
                 store::StoreOutcome::Done(store::StoreReply::Swapped { version }),
@@ -79,7 +79,7 @@
         if let Some(held) = self.contacts.held.take() {
             let key = keys::contact(&self.zone, held.slot);
             let version = held.version;
-            let request = store::StoreAsk::Remove { key, version };
+            let request = store::StoreRequest::Remove { key, version };
             self.request_store(
                 now,
                 store_requests::RequestPurpose::ReleaseSlot,
@@ -92,7 +92,7 @@
     fn list_contacts(&mut self, now: time::NodeTime, out: &mut Vec<effect::FleetEffect>) {
         // The outcome or the timeout of the request sets the actual time.
         self.contacts.list_at = now + contact::LIST_INTERVAL * 2;
-        let request = store::StoreAsk::List {
+        let request = store::StoreRequest::List {
             prefix: store::StoreKey::new(keys::CONTACTS),
             after: None,
             limit: LIST_LIMIT,
@@ -157,7 +157,7 @@
         };
         held.renew_at = now + contact::RENEW_INTERVAL;
         let lease = held.lease;
-        let request = store::StoreAsk::Renew { lease };
+        let request = store::StoreRequest::Renew { lease };
         self.request_store(
             now,
             store_requests::RequestPurpose::RenewLease,
@@ -232,7 +232,7 @@
         out: &mut Vec<effect::FleetEffect>,
     ) {
         let lease = contact::CONTACT_LEASE;
-        let request = store::StoreAsk::Grant { lease };
+        let request = store::StoreRequest::Grant { lease };
         self.request_store(
             now,
             store_requests::RequestPurpose::GrantLease { slot },
@@ -246,7 +246,7 @@
         now: time::NodeTime,
         slot: u8,
         lease: store::LeaseId,
-        base: store::SwapBase,
+        base: store::SwapCondition,
         out: &mut Vec<effect::FleetEffect>,
     ) {
         let entry = gossip::ContactEntry {
@@ -256,9 +256,9 @@
         let Some(value) = entry.to_value() else {
             return;
         };
-        let request = store::StoreAsk::Swap {
+        let request = store::StoreRequest::Swap {
             key: keys::contact(&self.zone, slot),
-            base,
+            condition: base,
             value,
             lease: Some(lease),
         };
@@ -314,7 +314,7 @@
             Some(entry) if entry.node != self.local => self.join_through(entry.udp, out),
             Some(_) => {}
             None => {
-                let base = store::SwapBase::At(current.version);
+                let base = store::SwapCondition::At(current.version);
                 self.claim_slot(now, slot, lease, base, out);
             }
         }
@@ -358,7 +358,7 @@
             .filter(|m| m.state.is_live() && m.node != self.local && m.facts.contact.is_some());
         let holders: Vec<_> = holders.map(|m| m.facts.udp).collect();
         for to in holders {
-            self.send(to, gossip::GossipKind::CheckContact, Vec::new(), out);
+            self.send(to, gossip::GossipKind::CheckContactLease, Vec::new(), out);
         }
     }
 
--- a/crates/anvil_membership/src/fleet/probing.rs
+++ b/crates/anvil_membership/src/fleet/probing.rs
@@ -104,7 +104,7 @@
             gossip::GossipKind::PingRequest { probe, target } => {
                 self.relay_ping(now, sender, *probe, *target, out);
             }
-            gossip::GossipKind::Introduce => {
+            gossip::GossipKind::FactsRequest => {
                 let updates = self.claim(self.local).into_iter().collect();
                 self.send(from, gossip::GossipKind::Rumour, updates, out);
             }
@@ -114,12 +114,12 @@
             gossip::GossipKind::Changes { changes } => {
                 self.apply_changes(changes, out);
             }
-            gossip::GossipKind::CheckContact => self.renew_lease_soon(now),
+            gossip::GossipKind::CheckContactLease => self.renew_lease_soon(now),
             gossip::GossipKind::Census(message) => self.on_census(now, from, message, out),
             gossip::GossipKind::Welcome
             | gossip::GossipKind::Rumour
             | gossip::GossipKind::Quota(_)
-            | gossip::GossipKind::Farewell(_) => {}
+            | gossip::GossipKind::Shutdown(_) => {}
         }
         self.request_introduction(from, message, out);
     }
@@ -132,8 +132,8 @@
         out: &mut Vec<effect::FleetEffect>,
     ) {
         let known = self.table.get(message.head.from).is_some();
-        if !known && message.kind != gossip::GossipKind::Introduce {
-            self.send(from, gossip::GossipKind::Introduce, Vec::new(), out);
+        if !known && message.kind != gossip::GossipKind::FactsRequest {
+            self.send(from, gossip::GossipKind::FactsRequest, Vec::new(), out);
         }
     }
 
--- a/crates/anvil_membership/src/fleet/rules.rs
+++ b/crates/anvil_membership/src/fleet/rules.rs
@@ -164,7 +164,7 @@
             out.push(effect::FleetEffect::EncodeSnapshot { destination });
             return;
         };
-        changes.truncate(gossip::CHANGES_LIMIT);
+        changes.truncate(gossip::MAX_CHANGES);
         let bytes: usize = changes.iter().map(|change| change.body.len() + 32).sum();
         if bytes <= MAX_DATAGRAM_CHANGE_BYTES {
             self.send(
@@ -233,7 +233,7 @@
             self.request_store(
                 now,
                 store_requests::RequestPurpose::ReadManifest,
-                store::StoreAsk::Get { key },
+                store::StoreRequest::Get { key },
                 out,
             );
         } else if *more {
@@ -319,7 +319,7 @@
         outcome: &store::StoreOutcome,
         out: &mut Vec<effect::FleetEffect>,
     ) {
-        if *outcome == store::StoreOutcome::HistoryLost {
+        if *outcome == store::StoreOutcome::HistoryTrimmed {
             // The changes of the gap can only be read; a watch from the same version would be
             // rejected for ever.
             self.rules.watch_at = now;
@@ -421,7 +421,7 @@
         self.rules.read_at = None;
         let held = self.revision();
         if let Some(key) = self.config.document.clone() {
-            let request = store::StoreAsk::List {
+            let request = store::StoreRequest::List {
                 prefix: key,
                 after: None,
                 limit: 1,
@@ -429,7 +429,7 @@
             self.request_store(now, store_requests::RequestPurpose::ReadLog, request, out);
             return;
         }
-        let request = store::StoreAsk::List {
+        let request = store::StoreRequest::List {
             prefix: store::StoreKey::new(keys::LOG),
             after: (held.0 > 0).then(|| keys::log_entry(held)),
             limit: spread::READ_LIMIT,
@@ -449,7 +449,7 @@
             Some(key) => (key.clone(), spread::DOCUMENT_POLL_WAIT),
             None => (store::StoreKey::new(keys::LOG), spread::WATCH_WAIT),
         };
-        let request = store::StoreAsk::Watch {
+        let request = store::StoreRequest::Watch {
             prefix,
             seen: self.rules.seen,
             wait,
--- a/crates/anvil_membership/src/fleet/store_access.rs
+++ b/crates/anvil_membership/src/fleet/store_access.rs
@@ -29,7 +29,7 @@
         &mut self,
         now: time::NodeTime,
         purpose: store_requests::RequestPurpose,
-        request: store::StoreAsk,
+        request: store::StoreRequest,
         out: &mut Vec<effect::FleetEffect>,
     ) {
         if self.requests.is_open(purpose) {
@@ -67,7 +67,7 @@
         let failed = matches!(
             outcome,
             store::StoreOutcome::Unavailable
-                | store::StoreOutcome::HistoryLost
+                | store::StoreOutcome::HistoryTrimmed
                 | store::StoreOutcome::Unknown
         );
         self.counters.store_failed += u64::from(failed);
--- a/crates/anvil_membership/src/snapshot.rs
+++ b/crates/anvil_membership/src/snapshot.rs
@@ -49,7 +49,7 @@
     /// The current step.
     pub step: SnapshotStep,
     /// The condition on the current manifest under which the new one is written.
-    pub base: store::SwapBase,
+    pub base: store::SwapCondition,
     /// The manifest to publish.
     pub manifest: Option<gossip::SnapshotManifest>,
     /// The encoded rules.
--- a/crates/anvil_membership/src/spread.rs
+++ b/crates/anvil_membership/src/spread.rs
@@ -36,7 +36,7 @@
 pub const RETAINED_LOG_CHANGES: u64 = 256;
 
 /// Size of a snapshot chunk in bytes, half of the store's limit for a value.
-pub const CHUNK_BYTES: usize = store::VALUE_LIMIT / 2;
+pub const CHUNK_BYTES: usize = store::MAX_VALUE_BYTES / 2;
 
 /// Maximum number of chunks of a snapshot that is read.
 pub const CHUNK_LIMIT: u32 = 32;
--- a/crates/anvil_membership/src/store_requests.rs
+++ b/crates/anvil_membership/src/store_requests.rs
@@ -102,7 +102,7 @@
             times_out_at: now + REQUEST_TIMEOUT,
         });
         store::StoreId {
-            part: store::StorePart::Fleet,
+            requester: store::StoreRequester::Fleet,
             sequence,
         }
     }
--- a/crates/anvil_membership/tests/harness/mod.rs
+++ b/crates/anvil_membership/tests/harness/mod.rs
@@ -20,7 +20,7 @@
     Wake,
     Datagram(SocketAddr, gossip::GossipMessage),
     Sync(ident::NodeId, gossip::SyncMessage),
-    StoreRequest(store::StoreId, store::StoreAsk),
+    StoreRequest(store::StoreId, store::StoreRequest),
     StoreOutcome(store::StoreId, store::StoreOutcome),
     StoreTick,
 }
@@ -90,17 +90,17 @@
     /// Writes a document of the rules under `key` as an operator, directly to the store.
     pub fn write_rules(&mut self, key: &store::StoreKey, revision: u64) {
         let current = self.store.entries().find(|entry| entry.key == *key);
-        let base = current.map_or(store::SwapBase::Absent, |entry| {
-            store::SwapBase::At(entry.version)
+        let base = current.map_or(store::SwapCondition::Absent, |entry| {
+            store::SwapCondition::At(entry.version)
         });
-        let request = store::StoreAsk::Swap {
+        let request = store::StoreRequest::Swap {
             key: key.clone(),
-            base,
+            condition: base,
             value: whole_rules(revision).to_value().expect("it can be encoded"),
             lease: None,
         };
         let operator = store::StoreId {
-            part: store::StorePart::Keys,
+            requester: store::StoreRequester::Keys,
             sequence: revision,
         };
         let outcome = self.store.carry_out(self.now, (0, operator), &request);
@@ -394,7 +394,7 @@
         &mut self,
         index: usize,
         id: store::StoreId,
-        request: &store::StoreAsk,
+        request: &store::StoreRequest,
     ) {
         let cut = self.store_cut.contains(&self.nodes[index].region);
         let outcome = if cut {
--- a/crates/anvil_membership/tests/rule_document.rs
+++ b/crates/anvil_membership/tests/rule_document.rs
@@ -143,7 +143,7 @@
     }
 
     /// The next request about the rules, and the time until it is sent.
-    fn next_request(&mut self) -> (Duration, store::StoreId, store::StoreAsk) {
+    fn next_request(&mut self) -> (Duration, store::StoreId, store::StoreRequest) {
         let start = self.now;
         loop {
             self.now = self.state.next_wake().expect("it has something due");
@@ -152,8 +152,8 @@
                     continue;
                 };
                 let is_about_rules = match &request {
-                    store::StoreAsk::List { prefix, .. }
-                    | store::StoreAsk::Watch { prefix, .. } => *prefix == key(),
+                    store::StoreRequest::List { prefix, .. }
+                    | store::StoreRequest::Watch { prefix, .. } => *prefix == key(),
                     _ => false,
                 };
                 if is_about_rules {
@@ -193,13 +193,16 @@
 ) {
     let mut node = LoneNode::new();
     let (_, id, request) = node.next_request();
-    assert!(matches!(request, store::StoreAsk::List { .. }));
+    assert!(matches!(request, store::StoreRequest::List { .. }));
     node.answer(id, listed(2, 40));
     let (_, id, request) = node.next_request();
-    assert!(matches!(request, store::StoreAsk::Watch { .. }));
+    assert!(matches!(request, store::StoreRequest::Watch { .. }));
     node.answer(id, outcome.clone());
     let (pause, id, request) = node.next_request();
-    assert_eq!(matches!(request, store::StoreAsk::List { .. }), reads_again);
+    assert_eq!(
+        matches!(request, store::StoreRequest::List { .. }),
+        reads_again
+    );
     assert!(min_pause <= pause && pause <= max_pause, "{pause:?}");
     node.answer(id, listed(9, 90));
     assert_eq!(node.state.revision(), ident::RuleRevision(9));
@@ -212,7 +215,7 @@
 test_cases! {
     a_failed_watch_is_followed_by:
     a_read_if_history_is_lost => (
-        &store::StoreOutcome::HistoryLost, true, Duration::ZERO, Duration::from_millis(20)),
+        &store::StoreOutcome::HistoryTrimmed, true, Duration::ZERO, Duration::from_millis(20)),
     a_pause_if_the_response_is_lost => (
         &store::StoreOutcome::Unknown, false, Duration::from_millis(100), Duration::from_millis(1_500)),
     a_pause_if_the_store_is_down => (
--- a/crates/anvil_once/src/effect.rs
+++ b/crates/anvil_once/src/effect.rs
@@ -33,7 +33,7 @@
     /// This call did not run and will not.
     NotRun(verdict::RefusalReason),
     /// An earlier copy of the request may have run.
-    MayHaveRun(verdict::DoubtReason),
+    MayHaveRun(verdict::UncertaintyReason),
 }
 
 /// An output of the state machine.
--- a/crates/anvil_once/src/entry.rs
+++ b/crates/anvil_once/src/entry.rs
@@ -15,7 +15,7 @@
     /// The key.
     pub(crate) key: ident::RequestKey,
     /// The digest of the caller's request.
-    pub(crate) fingerprint: ident::PrintHash,
+    pub(crate) fingerprint: ident::RequestFingerprint,
 }
 
 /// The progress of a request for a key.
@@ -333,7 +333,7 @@
         call: ident::CallId,
         key: ident::RequestKey,
     ) {
-        let outcome = key::KeyOutcome::MayHaveRun(verdict::DoubtReason::RecordLost);
+        let outcome = key::KeyOutcome::MayHaveRun(verdict::UncertaintyReason::RecordLost);
         self.send(from, key::KeyMessage::Settle { call, key, outcome });
     }
 
@@ -383,10 +383,10 @@
         let target = self.select_target(now, at);
         self.send(
             target,
-            key::KeyMessage::Ask {
+            key::KeyMessage::Request {
                 call,
                 key,
-                print: fingerprint,
+                fingerprint,
             },
         );
     }
--- a/crates/anvil_once/src/event.rs
+++ b/crates/anvil_once/src/event.rs
@@ -31,7 +31,7 @@
     /// It provably did not run; no attempt is in flight or will follow.
     NotRun,
     /// Whether it ran is unknown.
-    MayHaveRun(verdict::DoubtReason),
+    MayHaveRun(verdict::UncertaintyReason),
 }
 
 /// An input of the state machine.
@@ -44,7 +44,7 @@
         /// The key.
         key: ident::RequestKey,
         /// The digest of the request, which tells a duplicate from a reused key.
-        fingerprint: ident::PrintHash,
+        fingerprint: ident::RequestFingerprint,
         /// How long to wait for a grant.
         wait: Duration,
     },
--- a/crates/anvil_once/src/grant.rs
+++ b/crates/anvil_once/src/grant.rs
@@ -68,7 +68,7 @@
         // already, and granting it could run it twice. New keys are granted again once the
         // retention, which exceeds the longest call, has passed.
         if uncertain && self.policy.guards.lost_keys_refused {
-            let reason = verdict::DoubtReason::RecordLost;
+            let reason = verdict::UncertaintyReason::RecordLost;
             return GrantDecision::Refuse(key::KeyRefusal::MayHaveRun(reason));
         }
         if full {
@@ -124,7 +124,7 @@
             }
             key::RecordState::Answered(Some(answer)) => key::KeyRefusal::Answered(answer.clone()),
             key::RecordState::Answered(None) => key::KeyRefusal::MayHaveRun(table::ANSWER_DROPPED),
-            key::RecordState::Doubtful(reason) => key::KeyRefusal::MayHaveRun(*reason),
+            key::RecordState::Uncertain(reason) => key::KeyRefusal::MayHaveRun(*reason),
         };
         GrantDecision::Refuse(refusal)
     }
@@ -133,14 +133,14 @@
         &self,
         now: time::NodeTime,
         entry: &table::KeyEntry,
-    ) -> verdict::DoubtReason {
+    ) -> verdict::UncertaintyReason {
         if self.is_missing(now, entry.call.node, Duration::ZERO) {
-            return verdict::DoubtReason::NodeLost;
+            return verdict::UncertaintyReason::NodeLost;
         }
         if now.since(entry.recorded_at) >= self.policy.max_call_duration {
-            return verdict::DoubtReason::Deadline;
+            return verdict::UncertaintyReason::Deadline;
         }
-        verdict::DoubtReason::InProgress
+        verdict::UncertaintyReason::InProgress
     }
 
     /// The refusal of a node that is not the primary.
@@ -264,7 +264,7 @@
     fn refuse(&mut self, call: ident::CallId, refusal: key::KeyRefusal) {
         let counter = match &refusal {
             key::KeyRefusal::Answered(_) => &mut self.counters.answered_again,
-            key::KeyRefusal::MayHaveRun(verdict::DoubtReason::InProgress) => {
+            key::KeyRefusal::MayHaveRun(verdict::UncertaintyReason::InProgress) => {
                 &mut self.counters.in_progress
             }
             key::KeyRefusal::MayHaveRun(_) => &mut self.counters.doubtful,
--- a/crates/anvil_once/src/owner.rs
+++ b/crates/anvil_once/src/owner.rs
@@ -164,10 +164,10 @@
 
     fn receive(&mut self, now: time::NodeTime, from: ident::NodeId, message: key::KeyMessage) {
         match message {
-            key::KeyMessage::Ask {
+            key::KeyMessage::Request {
                 call,
                 key,
-                print: fingerprint,
+                fingerprint,
             } => {
                 self.handle_request(
                     now,
@@ -204,7 +204,7 @@
                 part,
                 last,
                 records,
-                doubt_micros,
+                uncertain_micros: doubt_micros,
             } => {
                 self.learn(now, view, None);
                 let uncertainty = Duration::from_micros(doubt_micros);
--- a/crates/anvil_once/tests/pair.rs
+++ b/crates/anvil_once/tests/pair.rs
@@ -72,7 +72,7 @@
         let request = event::KeyEvent::Request {
             call,
             key: ident::RequestKey(key),
-            fingerprint: ident::PrintHash(print),
+            fingerprint: ident::RequestFingerprint(print),
             wait: Duration::from_secs(2),
         };
         self.step(node, request);
@@ -290,7 +290,7 @@
     let request = event::KeyEvent::Request {
         call,
         key: ident::RequestKey(key_of_slot(1)),
-        fingerprint: ident::PrintHash(1),
+        fingerprint: ident::RequestFingerprint(1),
         wait: Duration::from_secs(2),
     };
     pair.step(ENTRY, request);
--- a/crates/anvil_once/tests/support/world.rs
+++ b/crates/anvil_once/tests/support/world.rs
@@ -384,7 +384,7 @@
         let request = event::KeyEvent::Request {
             call,
             key: KEY,
-            fingerprint: ident::PrintHash(7),
+            fingerprint: ident::RequestFingerprint(7),
             wait: Duration::from_secs(5),
         };
         self.step(node, request);
