--- a/crates/anvil_overload/src/allowance.rs
+++ b/crates/anvil_overload/src/allowance.rs
@@ -1,4 +1,4 @@
-//! Retries that one branch of a chain may still spend; see `docs/design/retries.md`.
+//! Retry allowance of one branch of a call chain; see `docs/design/retries.md`.
 
 use serde::Serialize;
 
@@ -8,22 +8,22 @@
     amount: u16,
 }
 
-/// A pool of retries, lent to calls below and spent here.
+/// A pool of retries that is lent to downstream calls and spent locally.
 ///
-/// Failure: each hop retries by itself, so a chain multiplies load on its way down. Symptom: a
-/// service at the bottom sees tens of attempts for one root request. Here a retry spends from what
-/// the root was given: what is lent can't be spent here meanwhile, and what does not come back
-/// counts as spent. So the retries below a root never sum up to more than its bound.
+/// If each hop retries on its own, retries multiply along the chain and a service at the bottom
+/// sees tens of attempts for one root request. Here every retry comes out of the allowance of the
+/// root request: a loan cannot be spent locally until it is returned, and a loan that is never
+/// returned counts as spent. The retries below a root therefore never exceed its bound.
 #[derive(Clone, Debug, Serialize)]
 pub struct ChainAllowance {
     pool: u16,
     spent: u16,
-    /// Sorted by identity.
+    /// Sorted by id.
     loans: Vec<RetryLoan>,
 }
 
 impl ChainAllowance {
-    /// A pool of `bound` retries.
+    /// Creates a pool of `bound` retries.
     pub fn new(bound: u16) -> Self {
         Self {
             pool: bound,
@@ -32,12 +32,12 @@
         }
     }
 
-    /// Retries that may be spent here at present.
+    /// Retries that can be spent locally now, without those that are lent.
     pub fn available(&self) -> u16 {
         self.pool
     }
 
-    /// Spends one; false where none is left.
+    /// Spends one retry; returns false if none is available.
     pub fn spend(&mut self) -> bool {
         let left = self.pool > 0;
         if left {
@@ -47,21 +47,21 @@
         left
     }
 
-    /// Lends to the next attempt of this call all but one, which stays for the case that the
-    /// attempt is lost with its node; a single one is lent, since it is worth most below.
+    /// Lends the next attempt of this call all retries but one, which is reserved in case the
+    /// attempt is lost with its node. A single retry is lent, because it is worth most downstream.
     pub fn lend_attempt(&mut self, id: u64) -> u16 {
-        let kept = u16::from(self.pool > 1);
-        self.lend(id, self.pool - kept)
+        let reserve = u16::from(self.pool > 1);
+        self.lend(id, self.pool - reserve)
     }
 
-    /// Lends to one call of a run the larger half, so that calls made at the same time get a
-    /// share as well; never more than `most`, which the call's own rule allows.
-    pub fn lend_child(&mut self, id: u64, most: u16) -> u16 {
-        self.lend(id, self.pool.div_ceil(2).min(most))
+    /// Lends a downstream call the larger half, so that concurrent calls get a share as well, but
+    /// at most `max`, which the rule of that call allows.
+    pub fn lend_child(&mut self, id: u64, max: u16) -> u16 {
+        self.lend(id, self.pool.div_ceil(2).min(max))
     }
 
-    /// Takes back what the call `id` did not spend. Repeated and late answers, and what a call
-    /// claims beyond its loan, change nothing.
+    /// Returns the unspent part of the loan of call `id`. Repeated and late answers have no effect,
+    /// and a call that reports more than its loan is charged only the loan.
     pub fn settle(&mut self, id: u64, spent: u16) {
         let Ok(place) = self.loans.binary_search_by_key(&id, |loan| loan.id) else {
             return;
@@ -72,12 +72,12 @@
         self.pool += loan.amount - spent;
     }
 
-    /// Writes off the loan of a call whose answer will not come.
+    /// Counts the loan of a call whose answer will not arrive as spent.
     pub fn write_off(&mut self, id: u64) {
         self.settle(id, u16::MAX);
     }
 
-    /// All that was spent, where calls that are still out count in full.
+    /// Retries spent so far; outstanding loans count in full.
     pub fn spent(&self) -> u16 {
         let lent: u16 = self.loans.iter().map(|loan| loan.amount).sum();
         self.spent + lent
@@ -85,7 +85,7 @@
 
     fn lend(&mut self, id: u64, amount: u16) -> u16 {
         match self.loans.binary_search_by_key(&id, |loan| loan.id) {
-            // A second loan under one name could not be told apart when it comes back.
+            // Two loans with the same id could not be told apart when they are settled.
             Ok(_) => 0,
             Err(place) => {
                 self.pool -= amount;
--- a/crates/anvil_overload/src/cut.rs
+++ b/crates/anvil_overload/src/cut.rs
@@ -1,4 +1,4 @@
-//! Cut lines as callers' nodes remember them; see `docs/design/shedding.md`.
+//! Cut lines as remembered by the nodes of callers; see `docs/design/shedding.md`.
 
 use std::time::Duration;
 
@@ -8,88 +8,94 @@
 
 use crate::{kind, rank};
 
-/// How long a reported line counts in full where requests follow one another quickly.
+/// Shortest time for which a reported line applies in full; used if requests follow one another
+/// quickly.
 pub const MIN_CUT_FRESH: Duration = Duration::from_millis(200);
 
-/// When a line that no answer renewed is gone, as a multiple of the time for which it counts in full.
+/// Age at which a line that no answer renewed expires, as a multiple of the time for which it
+/// applies in full.
 pub const EXPIRY_FACTOR: u32 = 3;
 
-/// When such a line is gone.
+/// Age at which a line expires that applies in full for [`MIN_CUT_FRESH`].
 pub const MIN_CUT_EXPIRY: Duration = MIN_CUT_FRESH.saturating_mul(EXPIRY_FACTOR);
 
-/// Longest time for which a reported line counts in full.
+/// Longest time for which a reported line applies in full.
 pub const MAX_CUT_FRESH: Duration = Duration::from_secs(1);
 
-/// Usual times between two requests for which a line counts in full.
+/// Mean gaps between two requests for which a line applies in full.
 const FRESH_GAPS: u32 = 2;
 
-/// Weight of one request in the usual time between two, as its divisor.
+/// Weight of one request in the mean gap, as its divisor.
 const GAP_DIVISOR: u32 = 4;
 
-/// Kinds of request remembered for each service; the one heard of longest ago gives way.
+/// Capacity of the table of request kinds of a service; the kind that was updated longest ago is
+/// evicted.
 pub const MAX_KINDS: usize = 64;
 
-/// A reported cut line that fades unless renewed.
+/// A reported cut line that decays unless answers renew it.
 ///
-/// Failure: a line refuses everything, so no answer comes that could lower it. Symptom: the service
-/// stands idle long after the pressure. Fading lets ever lower requests through as probes, and
-/// whatever they meet renews or clears the line.
+/// A line that refuses everything receives no answer that could lower it, and the service would
+/// stay idle long after the overload. Decay admits ever lower requests as probes, and their answers
+/// renew or clear the line.
 ///
-/// Failure: many nodes share the requests, so that each sends one a few times a second, and a line has
-/// faded before the next one asks for it. Symptom: half of the requests that a deep service will refuse
-/// are begun. A line therefore lasts for some requests; the fleet as a whole probes as often as a small
-/// one, since each of its nodes does. What counts is how often requests ask and not how often answers
-/// tell: a line that refuses nearly all has few answers, and would hold itself up.
+/// In a large fleet each node sends only a few requests a second, and a line could expire before
+/// the next request is checked against it, so that half of the requests that a downstream service
+/// refuses would be started. A line therefore lasts for a number of requests. The fleet as a whole
+/// still probes as often as a small one, because each node does. The lifetime follows the rate of
+/// requests and not of answers: a line that refuses nearly everything has few answers and would
+/// keep itself in force.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct DecayingCut {
     level: u16,
+    /// When an answer last reported the line.
     at: time::NodeTime,
-    /// When a request last asked for it.
-    asked: time::NodeTime,
-    /// Usual time between two such requests.
+    /// When a request was last checked against the line.
+    #[serde(rename = "asked")]
+    checked: time::NodeTime,
+    /// Mean time between two such checks.
     gap: Duration,
 }
 
 impl DecayingCut {
-    /// Takes in what an answer reported; the latest counts, whatever it says.
+    /// Replaces the line with the one of the latest answer.
     pub fn update(&mut self, now: time::NodeTime, line: Option<&call::CutLine>) {
         self.level = rank::line_level(line);
         self.at = now;
     }
 
-    /// Notes that a request asks for the line.
+    /// Records that a request is checked against the line.
     fn note_request(&mut self, now: time::NodeTime) {
-        let gap = now.since(self.asked).min(MAX_CUT_FRESH);
+        let gap = now.since(self.checked).min(MAX_CUT_FRESH);
         self.gap = self.gap - self.gap / GAP_DIVISOR + gap / GAP_DIVISOR;
-        self.asked = now;
+        self.checked = now;
     }
 
-    /// Whether an answer told of the line lately, or that there is none.
+    /// Whether an unexpired answer has reported the line, or reported that there is none.
     pub fn is_known(&self, now: time::NodeTime) -> bool {
         self.at > time::NodeTime::START && now.since(self.at) <= self.fresh() * EXPIRY_FACTOR
     }
 
-    /// How long the line counts in full.
+    /// How long the line applies in full.
     fn fresh(&self) -> Duration {
         (self.gap * FRESH_GAPS).clamp(MIN_CUT_FRESH, MAX_CUT_FRESH)
     }
 
-    /// The lowest level admitted at present.
+    /// The lowest level that is admitted now.
     pub fn level(&self, now: time::NodeTime) -> u16 {
         let age = now.since(self.at);
         let fresh = self.fresh();
         if age <= fresh {
             return self.level;
         }
-        let gone = fresh * EXPIRY_FACTOR;
-        let left = gone.saturating_sub(age).as_micros();
-        let span = (gone - fresh).as_micros();
+        let expiry = fresh * EXPIRY_FACTOR;
+        let left = expiry.saturating_sub(age).as_micros();
+        let span = (expiry - fresh).as_micros();
         let level = u128::from(self.level) * left / span;
         u16::try_from(level).unwrap_or(self.level)
     }
 }
 
-/// The cut lines that come from below one service, by kind of request.
+/// Cut lines that one service passes on from its dependencies, by kind of request.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct CutTable {
     /// Sorted by kind.
@@ -97,7 +103,7 @@
 }
 
 impl CutTable {
-    /// Takes in what the answer to a request of `kind` reported.
+    /// Records the line that the answer to a request of `kind` reported.
     pub fn update(
         &mut self,
         now: time::NodeTime,
@@ -106,25 +112,25 @@
     ) {
         match self.place(kind) {
             Ok(place) => self.kinds[place].1.update(now, line),
-            // What was never cut need not be remembered.
+            // A kind without a line needs no entry.
             Err(_) if line.is_none() => {}
             Err(place) => {
                 let mut cut = DecayingCut::default();
                 cut.update(now, line);
                 self.kinds.insert(place, (kind, cut));
-                self.shrink();
+                self.evict_oldest();
             }
         }
     }
 
-    /// Notes that a request of `kind` asks for its line.
+    /// Records that a request of `kind` is checked against its line.
     pub fn note_request(&mut self, now: time::NodeTime, kind: kind::CallKind) {
         if let Ok(place) = self.place(kind) {
             self.kinds[place].1.note_request(now);
         }
     }
 
-    /// The lowest level that is admitted below for requests of `kind`.
+    /// The lowest level that downstream services admit for requests of `kind`.
     pub fn level(&self, now: time::NodeTime, kind: kind::CallKind) -> u16 {
         let place = self.place(kind);
         place.map_or(0, |place| self.kinds[place].1.level(now))
@@ -134,7 +140,7 @@
         self.kinds.binary_search_by_key(&kind, |(known, _)| *known)
     }
 
-    fn shrink(&mut self) {
+    fn evict_oldest(&mut self) {
         if self.kinds.len() <= MAX_KINDS {
             return;
         }
--- a/crates/anvil_overload/src/demand.rs
+++ b/crates/anvil_overload/src/demand.rs
@@ -1,16 +1,17 @@
-//! How much is asked for at each level; see `docs/design/shedding.md`.
+//! Request rate at each shedding level; see `docs/design/shedding.md`.
 
 use std::time::Duration;
 
 use crate::rank;
 
-/// Weight of one window in the smoothed demand.
+/// Weight of one window in the exponential moving average.
 pub const DEMAND_WEIGHT: f64 = 0.2;
 
-/// Smoothed arrivals a second at each level.
+/// Smoothed arrival rate at each level, in requests a second.
 ///
-/// What lies below the line is mostly refused elsewhere and not seen here; there the last known
-/// demand is kept, so that the line comes down by as much as the slots can take.
+/// Callers' nodes refuse most requests below the cut line, so they do not arrive here. For those
+/// levels the last known rate is retained, so that the line can be lowered by as much as the slots
+/// can take.
 #[derive(Clone, Debug)]
 pub struct LevelDemand {
     counts: Vec<u32>,
@@ -28,13 +29,13 @@
 }
 
 impl LevelDemand {
-    /// Counts one request.
+    /// Counts an arriving request.
     pub fn count_arrival(&mut self, level: u16) {
         self.counts[usize::from(level)] += 1;
     }
 
-    /// Takes the counts of a window of `span` into the rates; `line` is the lowest level admitted
-    /// in it.
+    /// Folds the counts of a window of length `span` into the rates; `line` is the lowest level
+    /// that was admitted during the window.
     pub fn close_window(&mut self, line: u16, span: Duration) {
         let seconds = span.as_secs_f64().max(1e-6);
         for (level, count) in self.counts.iter_mut().enumerate() {
@@ -47,7 +48,7 @@
         }
     }
 
-    /// The level above `level` that leaves out `share` of what `level` admits.
+    /// The level at or above `level` that excludes `share` of the requests that `level` admits.
     pub fn raised(&self, level: u16, share: f64) -> u16 {
         let from = usize::from(level);
         let counted = self.rates.iter().zip(&self.counts);
@@ -64,12 +65,13 @@
         raised
     }
 
-    /// The level below `level` that lets in `room` more requests a second, at most `steps` lower.
+    /// The level at or below `level` that admits `room` more requests a second, at most `steps`
+    /// lower.
     pub fn lowered(&self, level: u16, steps: u16, room: f64) -> u16 {
-        let least = level.saturating_sub(steps);
+        let lowest = level.saturating_sub(steps);
         let mut rest = room;
         let mut lowered = level;
-        while lowered > least && rest > 0.0 {
+        while lowered > lowest && rest > 0.0 {
             lowered -= 1;
             rest -= self.rates[usize::from(lowered)];
         }
--- a/crates/anvil_overload/src/lib.rs
+++ b/crates/anvil_overload/src/lib.rs
@@ -1,8 +1,9 @@
-//! Decisions under overload, as state modules that the reducer drives.
+//! Overload decisions as pure state machines that the reducer drives.
 //!
-//! No module reads a clock, a socket or unseeded randomness: each is told the time. What one node
-//! decides from what it sees is here; the messages that carry it on are in `anvil_wire`.
-//! `docs/OPERATIONS-overload.md` is the operators' page, and each module names its design note.
+//! No module reads a clock, opens a socket or uses unseeded randomness; callers pass in the current
+//! time. This crate holds what one node decides from its own observations, and `anvil_wire` holds
+//! the messages that carry those decisions. `docs/OPERATIONS-overload.md` is the operators' page,
+//! and each module names its design page.
 
 pub mod admission;
 pub mod allowance;
--- a/crates/anvil_overload/src/ratio.rs
+++ b/crates/anvil_overload/src/ratio.rs
@@ -1,4 +1,4 @@
-//! Retries of one node as a share of its first attempts; see `docs/design/retries.md`.
+//! Per-node retry budget, as a ratio of retries to first attempts; see `docs/design/retries.md`.
 
 use std::time::Duration;
 
@@ -7,105 +7,111 @@
 
 use crate::rank;
 
-/// Retries that may come in one burst.
+/// Capacity of the retry budget of a single node, in retries.
 pub const RATIO_BURST: u64 = 20;
 
-/// Retries that a node may add each second however few requests it sends, so that the share
-/// does not forbid every retry where traffic is thin.
+/// Retries that a node accrues each second regardless of its traffic, so that the ratio does not
+/// forbid every retry at low request rates.
 pub const RATIO_FLOOR_PER_SECOND: u64 = 2;
 
-/// One retry, in the unit of the budget: micro-retries.
-const RETRY: u64 = 1_000_000;
+/// Cost of one retry; budgets are kept in millionths of a retry.
+const MICROS_PER_RETRY: u64 = 1_000_000;
 
-/// Spans of [`SHARE_WINDOW`] over whose mean the share is given out.
+/// Number of past [`SHARE_WINDOW`]s whose mean sets the refill rate.
 ///
-/// A service that begins to refuse gets fewer first attempts at once, since requests end at their first
-/// refusal; with a share of these alone, the retries that would carry requests through shrink just when
-/// they are needed. Ten seconds are the window in which the platform counts repeats against the requests
-/// of that window or of the one before it, so a mean over them stays within the larger of the two.
+/// When a service begins to refuse requests, its first attempts drop at once because requests end
+/// at their first refusal. A ratio of the current first attempts alone would shrink the retry
+/// budget exactly when retries are needed. The platform compares the repeats of ten seconds with
+/// the requests of the same window or of the one before, so a mean over ten seconds stays within
+/// the larger of the two.
 pub const SHARE_WINDOWS: usize = 10;
 
-/// See [`SHARE_WINDOWS`]; also the time whose share may be saved up beyond the burst.
+/// Length of one window; also the time whose refill may accumulate beyond the burst.
 ///
-/// Savings are what ranks are told apart by: the retries of a service that fails half of its requests
-/// go to the highest ranks, of which most then come through whole. They raise the repeats of ten seconds
-/// by a tenth of their share at most.
+/// The accumulated budget is what lets higher ranks take precedence: if a service fails half of its
+/// requests, its retries go to the highest ranks, most of which then succeed completely. It raises
+/// the repeats of any ten seconds by at most a tenth of the ratio.
 pub const SHARE_WINDOW: Duration = Duration::from_secs(1);
 
-/// What the last lane of the highest class leaves of the savings to the lanes before it.
-const LANES_LEAVE: f64 = 0.5;
+/// Fraction of the budget that the last lane of the highest class reserves for the lanes before it.
+const MAX_LANE_RESERVE: f64 = 0.5;
 
-/// The most that the classes below the highest leave of the savings, in percent. With less, browsing that
-/// comes twice as often as submissions takes a fifth of the retries of a small burst, and with this a tenth.
-const CLASSES_LEAVE: u64 = 90;
+/// Upper bound of the budget that classes below the highest reserve for it, in percent. With a
+/// smaller reserve, normal-class requests that arrive twice as often as critical ones take a fifth
+/// of the retries of a small burst; with this one they take a tenth.
+const CLASS_RESERVE_PERCENT: u64 = 90;
 
-/// What they leave, in micro-retries, beyond the retries that the highest class has asked for within the
-/// last span; so a budget that only they need is theirs.
-const CLASSES_LEAVE_ALWAYS: u64 = 2 * RETRY;
+/// Part of that reserve that does not depend on demand, in micro-retries. The rest equals the
+/// retries that higher classes requested within the last window, so that lower classes can use a
+/// budget that nobody else needs.
+const BASE_CLASS_RESERVE: u64 = 2 * MICROS_PER_RETRY;
 
-/// What a budget holds beyond the share.
+/// Capacity and floor of a budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct RatioLimits {
-    /// The most that may come in one burst, in micro-retries.
+    /// Burst capacity, in micro-retries.
     burst: u64,
-    /// What is added each second however few requests are sent, in micro-retries.
+    /// Refill that does not depend on traffic, in micro-retries a second.
     floor_per_second: u64,
 }
 
 impl RatioLimits {
-    /// For a node on its own: [`RATIO_BURST`] and [`RATIO_FLOOR_PER_SECOND`].
+    /// Limits of a single node: [`RATIO_BURST`] and [`RATIO_FLOOR_PER_SECOND`].
     pub const NODE: Self = Self {
-        burst: RATIO_BURST * RETRY,
-        floor_per_second: RATIO_FLOOR_PER_SECOND * RETRY,
+        burst: RATIO_BURST * MICROS_PER_RETRY,
+        floor_per_second: RATIO_FLOOR_PER_SECOND * MICROS_PER_RETRY,
     };
 
-    /// A node's part of a burst that all `nodes` share.
+    /// Limits of one node if `nodes` share a burst of `fleet_burst` retries.
     pub fn shared(fleet_burst: u32, nodes: usize) -> Self {
         let nodes = u64::try_from(nodes.max(1)).unwrap_or(u64::MAX);
         Self {
-            burst: (u64::from(fleet_burst) * RETRY / nodes).max(RETRY),
+            burst: (u64::from(fleet_burst) * MICROS_PER_RETRY / nodes).max(MICROS_PER_RETRY),
             floor_per_second: 0,
         }
     }
 }
 
-/// A token bucket that the share of recent first attempts fills and retries empty.
+/// A token bucket that recent first attempts refill and retries drain.
 ///
-/// The chain's allowance bounds the retries of one root; this bounds those of many roots
-/// together, which could still double the load of a service that refuses most of its requests.
+/// The chain allowance bounds the retries of one root request. This budget bounds the retries of
+/// many root requests together, which could otherwise still double the load of a service that
+/// refuses most of its requests.
 #[derive(Clone, Debug, Serialize)]
 pub struct RetryBudget {
-    /// Below zero where repeats came that could not be held back.
+    /// Micro-retries left; negative after repeats that could not be held back.
     tokens: i64,
     filled: time::NodeTime,
     limits: RatioLimits,
     share: ShareHistory,
 }
 
-/// What first attempts have added to a budget lately, span by span.
+/// Refill that first attempts contributed in recent windows.
 #[derive(Clone, Debug, Serialize)]
 struct ShareHistory {
-    /// When the present span began.
+    /// Start of the current window.
     began: time::NodeTime,
-    /// What the present span has added.
+    /// Micro-retries added in the current window.
     present: u64,
-    /// What the spans before it have added; the place of the next one to be replaced goes round.
+    /// Micro-retries added in the previous windows, as a ring buffer.
     former: [u64; SHARE_WINDOWS],
     next: usize,
-    /// Spans that have ended, until all places are filled.
+    /// Completed windows, up to [`SHARE_WINDOWS`].
     ended: usize,
-    /// What each step of importance has asked for in the present span, and in the one before it.
-    asked: AskedSums,
-    former_asked: AskedSums,
+    /// Micro-retries requested at each priority step in the current window, and in the previous
+    /// one.
+    asked: DemandSums,
+    former_asked: DemandSums,
 }
 
-/// Steps of importance: one for each class that the rules decide, within each class.
-const STEPS: usize = context::PriorityClass::ALL.len() * context::PriorityClass::ALL.len();
+/// Priority steps: within each class, one step for each class that the rules assign.
+const PRIORITY_STEPS: usize = context::PriorityClass::ALL.len() * context::PriorityClass::ALL.len();
 
-/// What was asked for by requests of each step, from the lowest.
-type AskedSums = [u64; STEPS];
+/// Micro-retries requested at each priority step, the lowest first.
+type DemandSums = [u64; PRIORITY_STEPS];
 
-/// The step of a request; one whose class the rules decided stands at the top of that class.
+/// Priority step of `rank`; a request whose class the rules decided takes the top step of its
+/// class.
 fn step(rank: &rank::CallRank) -> usize {
     let by_rule = rank.by_rule.unwrap_or(context::PriorityClass::Critical);
     rank.class as usize * context::PriorityClass::ALL.len() + by_rule as usize
@@ -119,16 +125,16 @@
             former: [0; SHARE_WINDOWS],
             next: 0,
             ended: 0,
-            asked: [0; STEPS],
-            former_asked: [0; STEPS],
+            asked: [0; PRIORITY_STEPS],
+            former_asked: [0; PRIORITY_STEPS],
         }
     }
 
-    /// Ends the spans that are over at `now`.
-    fn turn(&mut self, now: time::NodeTime) {
+    /// Closes the windows that have ended by `now`.
+    fn advance(&mut self, now: time::NodeTime) {
         let over = now.since(self.began).as_micros() / SHARE_WINDOW.as_micros();
         let over = u32::try_from(over).unwrap_or(u32::MAX);
-        // Beyond all places, each further span is as empty as the last.
+        // More empty windows than the ring buffer holds change nothing.
         for _ in 0..(over as usize).min(SHARE_WINDOWS + 1) {
             self.former[self.next] = std::mem::take(&mut self.present);
             self.next = (self.next + 1) % SHARE_WINDOWS;
@@ -138,25 +144,25 @@
         self.began = self.began + SHARE_WINDOW * over;
     }
 
-    /// What requests above `step` have asked for within the last span.
-    fn asked_above(&self, step: usize) -> u64 {
-        let sum = |asked: &AskedSums| asked[step + 1..].iter().sum::<u64>();
+    /// Micro-retries requested above `step` within the last window.
+    fn demand_above(&self, step: usize) -> u64 {
+        let sum = |asked: &DemandSums| asked[step + 1..].iter().sum::<u64>();
         sum(&self.asked).max(sum(&self.former_asked))
     }
 
-    /// Whether the past is long enough for its mean to stand for the share.
-    fn is_known(&self) -> bool {
+    /// Whether enough windows have passed for their mean to set the refill rate.
+    fn is_full(&self) -> bool {
         self.ended >= SHARE_WINDOWS
     }
 
-    /// What a span adds in the mean.
+    /// Mean refill of a window.
     fn mean(&self) -> u64 {
         self.former.iter().sum::<u64>() / SHARE_WINDOWS as u64
     }
 }
 
 impl RetryBudget {
-    /// A full budget of a node on its own.
+    /// A full budget with the limits of a single node.
     pub fn new(now: time::NodeTime) -> Self {
         Self::with_limits(now, RatioLimits::NODE)
     }
@@ -171,63 +177,65 @@
         }
     }
 
-    /// Counts a first attempt whose rule allows `percent` retries for each hundred.
+    /// Counts a first attempt whose rule allows `percent` retries per hundred first attempts.
     pub fn count_first_attempt(&mut self, now: time::NodeTime, percent: u8) {
         self.fill(now);
-        let added = u64::from(percent) * RETRY / 100;
+        let added = u64::from(percent) * MICROS_PER_RETRY / 100;
         self.share.present += added;
-        if !self.share.is_known() {
+        if !self.share.is_full() {
             self.add(added);
         }
     }
 
-    /// Counts a repeat that a retry further up the chain made unavoidable.
+    /// Charges a repeat that a retry further up the call chain caused; it cannot be held back.
     pub fn charge_inherited(&mut self) {
         let least = -signed(self.limits.burst);
-        self.tokens = (self.tokens - signed(RETRY)).max(least);
+        self.tokens = (self.tokens - signed(MICROS_PER_RETRY)).max(least);
     }
 
-    /// Spends one retry for a request of `rank`; false where its part of the budget is used up.
+    /// Spends one retry for a request of `rank`; returns false if the budget available to that rank
+    /// is used up.
     ///
-    /// Failure: a service refuses half of what it gets, and a request needs eight answers of it. With
-    /// retries given to whoever asks first, each request gets one or two and hardly any comes through.
-    /// Each rank therefore leaves a part of the savings to the ranks above it; lanes are the same at
-    /// every hop, so the requests that win here win at their other calls as well.
+    /// If a service refuses half of its requests and each root request needs eight of its answers,
+    /// retries granted in order of arrival give each root one or two retries, and hardly any root
+    /// succeeds. Each rank therefore leaves a reserve to the ranks above it. A request keeps its
+    /// lane at every hop, so the requests that win here win at their other calls as well.
     pub fn spend(&mut self, now: time::NodeTime, rank: &rank::CallRank) -> bool {
         self.fill(now);
-        let kept = self.kept_above(rank);
-        let allowed = self.tokens >= signed(RETRY.max(kept));
+        let reserve = self.reserve_above(rank);
+        let allowed = self.tokens >= signed(MICROS_PER_RETRY.max(reserve));
         if allowed {
-            self.tokens -= signed(RETRY);
+            self.tokens -= signed(MICROS_PER_RETRY);
         }
         allowed
     }
 
-    /// What a request of `rank` leaves to the ranks above it.
-    fn kept_above(&mut self, rank: &rank::CallRank) -> u64 {
-        let most = self.most();
+    /// Micro-retries that a request of `rank` must leave to higher ranks; counts its demand as
+    /// well.
+    fn reserve_above(&mut self, rank: &rank::CallRank) -> u64 {
+        let capacity = self.capacity();
         let step = step(rank);
-        self.share.asked[step] += RETRY;
-        let above = match step + 1 < STEPS {
+        self.share.asked[step] += MICROS_PER_RETRY;
+        let above = match step + 1 < PRIORITY_STEPS {
             true => {
-                let asked = self.share.asked_above(step) + CLASSES_LEAVE_ALWAYS;
-                (most * CLASSES_LEAVE / 100).min(asked)
+                let asked = self.share.demand_above(step) + BASE_CLASS_RESERVE;
+                (capacity * CLASS_RESERVE_PERCENT / 100).min(asked)
             }
             false => 0,
         };
-        above + ((most - above) as f64 * lane_leave(rank)) as u64
+        above + ((capacity - above) as f64 * lane_reserve(rank)) as u64
     }
 
-    /// The most that may be saved: the burst, and the share of one span.
-    fn most(&self) -> u64 {
+    /// Maximum level of the bucket: the burst, and the refill of one window.
+    fn capacity(&self) -> u64 {
         self.limits.burst + self.share.mean()
     }
 
-    /// Adds what the time since the last look has brought.
+    /// Adds the refill that has accrued since the last call.
     fn fill(&mut self, now: time::NodeTime) {
-        self.share.turn(now);
+        self.share.advance(now);
         let mut rate = self.limits.floor_per_second;
-        if self.share.is_known() {
+        if self.share.is_full() {
             rate += self.share.mean();
         }
         let micros = u64::try_from(now.since(self.filled).as_micros()).unwrap_or(u64::MAX);
@@ -236,33 +244,34 @@
     }
 
     fn add(&mut self, tokens: u64) {
-        let most = signed(self.most());
-        self.tokens = self.tokens.saturating_add(signed(tokens)).min(most);
+        let capacity = signed(self.capacity());
+        self.tokens = self.tokens.saturating_add(signed(tokens)).min(capacity);
     }
 }
 
-/// What a request leaves to the lanes before its own, as a part of what is left to its step.
+/// Fraction that a request leaves to the lanes before its own, after the reserve for higher steps.
 ///
-/// Below the highest class only accounts' requests are told apart by lane: there one class holds most of
-/// the traffic, and retries given to whoever asks first would complete none of it.
-fn lane_leave(rank: &rank::CallRank) -> f64 {
+/// Below the highest class, lanes matter only for requests whose class comes from their client
+/// account: one class then holds most of the traffic, and retries granted in order of arrival would
+/// complete none of it.
+fn lane_reserve(rank: &rank::CallRank) -> f64 {
     let lane = rank.lane.0;
     let part = match (rank.by_rule, rank.class) {
         (Some(_), _) => lane.drawn_part(),
         (None, context::PriorityClass::Critical) => f64::from(lane.0) / f64::from(rank::LANES),
         (None, _) => 0.0,
     };
-    part * LANES_LEAVE
+    part * MAX_LANE_RESERVE
 }
 
 fn signed(tokens: u64) -> i64 {
     i64::try_from(tokens).unwrap_or(i64::MAX)
 }
 
-/// Budgets by service.
+/// Retry budgets, one for each service.
 ///
-/// Retries for a service that fails must not use up what another one may need, and a platform that
-/// bounds the repeats of each service counts them so.
+/// Retries to a failing service must not use up the budget of another service. A platform that
+/// bounds repeats also counts them for each service.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct ServiceBudgets {
     /// Sorted by service.
@@ -270,7 +279,7 @@
 }
 
 impl ServiceBudgets {
-    /// The budget of `service`, a full one within `limits` where it is new.
+    /// Returns the budget of `service`, and creates a full one within `limits` if there is none.
     pub fn get_or_insert(
         &mut self,
         now: time::NodeTime,
