--- a/crates/anvil_overload/src/backoff.rs
+++ b/crates/anvil_overload/src/backoff.rs
@@ -1,16 +1,16 @@
-//! Pauses before retries; see `docs/design/retries.md`.
+//! Exponential backoff before retries; see `docs/design/retries.md`.
 
 use std::time::Duration;
 
 use rand_core::Rng;
 
-/// Doublings after which the pause grows no further.
+/// Number of doublings after which the pause no longer grows.
 pub const DOUBLINGS: u32 = 6;
 
-/// The pause before retry number `retry`, counted from one: `first` doubled for each earlier
-/// retry, of which a random half to whole is taken.
+/// Returns the pause before retry number `retry`, counted from one: `first` doubled for each
+/// earlier retry, of which a random share between a half and one is used.
 ///
-/// Without jitter the requests that failed together come back together.
+/// Without jitter, requests that failed together would be retried together.
 pub fn pause<Source>(first: Duration, retry: u16, source: &mut Source) -> Duration
 where
     Source: Rng,
--- a/crates/anvil_overload/src/deadline.rs
+++ b/crates/anvil_overload/src/deadline.rs
@@ -1,26 +1,27 @@
-//! Time left, hop by hop; see `docs/design/deadlines.md`.
+//! Remaining time at each hop; see `docs/design/deadlines.md`.
 
 use std::time::Duration;
 
 use anvil_types::time;
 
-/// Round trip to another node of the own availability zone, with its connection.
+/// Round trip to another node in the same availability zone, including its connection.
 pub const SAME_ZONE_ROUND_TRIP: Duration = Duration::from_millis(1);
 
-/// Round trip to a node of another availability zone.
+/// Round trip to a node in another availability zone.
 pub const CROSS_ZONE_ROUND_TRIP: Duration = Duration::from_millis(3);
 
-/// Time that the next hop may take, so that its answer is back before `deadline`; none where no
-/// time is left.
+/// Time that the next hop may take for its answer to be back before `deadline`; `None` if no time
+/// is left.
 ///
-/// Failure: the last hop works until the very deadline. Symptom: its answer is whole and late, so
-/// the run was wasted. Each hop therefore keeps the way back for itself.
+/// Without a margin the last hop may work until the deadline itself; its complete answer would then
+/// arrive too late and the run would be wasted. Each hop therefore reserves the time of the return
+/// trip.
 pub fn hop_remaining(
     now: time::NodeTime,
     deadline: time::NodeTime,
-    near: bool,
+    same_zone: bool,
 ) -> Option<Duration> {
-    let trip = if near {
+    let trip = if same_zone {
         SAME_ZONE_ROUND_TRIP
     } else {
         CROSS_ZONE_ROUND_TRIP
--- a/crates/anvil_overload/src/dependency.rs
+++ b/crates/anvil_overload/src/dependency.rs
@@ -1,20 +1,20 @@
-//! Which services the local target needs for its requests; see `docs/design/shedding.md`.
+//! Services that the local target calls to answer its requests; see `docs/design/shedding.md`.
 
 use anvil_types::name;
 use serde::Serialize;
 
 use crate::kind;
 
-/// Share of the runs of one kind that make a call from which it counts as needed.
+/// Share of the runs of one kind from which on a call counts as needed.
 pub const NEEDED_SHARE: f64 = 0.5;
 
-/// Weight of one run in the share, as its divisor.
+/// Weight of one run in the moving average, as its divisor.
 const SHARE_DIVISOR: f64 = 32.0;
 
-/// Calls remembered; those made least give way.
-const CALLS_KEPT: usize = 256;
+/// Capacity of the table; the call with the smallest share is evicted.
+const MAX_CALLS: usize = 256;
 
-/// A call that the local target made while it ran a request.
+/// A call that the local target makes while it runs a request.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct NeededCall {
     /// The service called.
@@ -30,11 +30,11 @@
     share: f64,
 }
 
-/// The share of the local target's runs of each kind that make each call.
+/// For each kind of run of the local target, the share of runs that make each call.
 ///
-/// The cut line of a needed call is passed upwards, so that an entry node refuses what could not
-/// become whole. A call that only few runs make is left out: its line would refuse requests that
-/// don't need it.
+/// The cut lines of needed calls are passed on to callers, so that an entry node refuses requests
+/// that could not be completed. Calls that only few runs make are left out, because their lines
+/// would refuse requests that do not need them.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct DependencyTable {
     /// Sorted by the run's kind and the call.
@@ -42,7 +42,7 @@
 }
 
 impl DependencyTable {
-    /// Takes in the calls, each named once, that a run of kind `run` made.
+    /// Records the distinct calls that a run of kind `run` made.
     pub fn record_run(&mut self, run: kind::CallKind, calls: &[NeededCall]) {
         let of_kind = |known: &&mut CallShare| known.run == run;
         for known in self.shares.iter_mut().filter(of_kind) {
@@ -65,8 +65,8 @@
         if self.place(run, call).is_ok() {
             return;
         }
-        if self.shares.len() == CALLS_KEPT {
-            self.drop_least();
+        if self.shares.len() == MAX_CALLS {
+            self.evict_rarest();
         }
         let Err(place) = self.place(run, call) else {
             return;
@@ -84,10 +84,10 @@
             .binary_search_by(|known| (known.run, &known.call).cmp(&(run, call)))
     }
 
-    fn drop_least(&mut self) {
-        let least = (0..self.shares.len())
+    fn evict_rarest(&mut self) {
+        let rarest = (0..self.shares.len())
             .min_by(|&a, &b| self.shares[a].share.total_cmp(&self.shares[b].share));
-        if let Some(place) = least {
+        if let Some(place) = rarest {
             self.shares.remove(place);
         }
     }
--- a/crates/anvil_overload/src/estimate.rs
+++ b/crates/anvil_overload/src/estimate.rs
@@ -1,17 +1,17 @@
-//! Smoothed time that a request holds a slot.
+//! Estimate of the service time: how long a request holds a slot.
 
 use std::time::Duration;
 
 use serde::Serialize;
 
-/// Weight of one new sample in the mean, as its divisor; eight samples halve an old error
-/// roughly, as TCP does for its round-trip time (RFC 6298).
+/// Weight of a new sample in the mean, as its divisor; eight samples roughly halve an old error, as
+/// in the round-trip time estimate of TCP (RFC 6298).
 const MEAN_DIVISOR: u64 = 8;
 
-/// Weight of one new sample in the deviation, as its divisor (RFC 6298).
+/// Weight of a new sample in the deviation, as its divisor (RFC 6298).
 const DEVIATION_DIVISOR: u64 = 4;
 
-/// Mean and deviation of the time that a request holds a slot, in microseconds.
+/// Mean and deviation of the service time, in microseconds.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct ServiceEstimate {
     mean: u64,
@@ -20,7 +20,7 @@
 }
 
 impl ServiceEstimate {
-    /// Takes in the time that one request held its slot.
+    /// Records the service time of one request.
     pub fn observe(&mut self, span: Duration) {
         let micros = u64::try_from(span.as_micros()).unwrap_or(u64::MAX / 16);
         if !self.seen {
@@ -34,12 +34,12 @@
         self.mean = weighted(self.mean, micros, MEAN_DIVISOR);
     }
 
-    /// The usual time; zero before the first sample.
+    /// Mean service time; zero before the first sample.
     pub fn mean(&self) -> Duration {
         Duration::from_micros(self.mean)
     }
 
-    /// A time that few requests undercut; zero before the first sample.
+    /// Service time that few requests stay below; zero before the first sample.
     pub fn lower_bound(&self) -> Duration {
         let low = self.mean.saturating_sub(2 * self.deviation);
         Duration::from_micros(low.max(self.mean / 2))
--- a/crates/anvil_overload/src/kind.rs
+++ b/crates/anvil_overload/src/kind.rs
@@ -1,4 +1,4 @@
-//! Which requests of a service are alike; see `docs/design/shedding.md`.
+//! Groups requests of a service that need the same dependencies; see `docs/design/shedding.md`.
 
 use anvil_wire::call;
 use serde::Serialize;
@@ -6,8 +6,9 @@
 
 /// A digest of the method and the first segment of the path.
 ///
-/// Requests of one kind need the same services below, as a rule, so a cut line from below is kept
-/// for each kind: a request that needs no sick service is not refused for it.
+/// Requests of one kind usually call the same downstream services, so the cut lines of these
+/// services are stored by kind: a request that does not need an overloaded service is not refused
+/// because of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct CallKind(pub u64);
 
--- a/crates/anvil_overload/src/limit.rs
+++ b/crates/anvil_overload/src/limit.rs
@@ -1,4 +1,4 @@
-//! How many requests may run at the target at once; see `docs/design/admission.md`.
+//! Adaptive concurrency limit of the local target; see `docs/design/admission.md`.
 
 use std::time::Duration;
 
@@ -7,86 +7,88 @@
 
 use crate::policy;
 
-/// Shortest time over which latency is judged.
+/// Shortest evaluation window.
 pub const LIMIT_WINDOW: Duration = Duration::from_millis(100);
 
-/// Of this many slots, one stays free.
+/// One slot in this many is left free if `spare_slots` is set.
 ///
-/// Failure: a target slows down when it is nearly full. Symptom: the last slot makes every run
-/// longer, so under more demand than it can bear the target answers less, not more. With 19 slots
-/// in 20 used it stays below that point; a target without one loses a twentieth at most.
+/// Some targets slow down when they are nearly full: the last slot makes every run longer, so under
+/// overload the target completes fewer requests. Using 19 slots in 20 stays below that point, and a
+/// target that does not behave so loses a twentieth at most.
 const SPARE_DIVISOR: u32 = 20;
 
-/// Samples by which latency is judged: two for each run at once, and one while the limit is ramped
-/// up, within these bounds, so that a narrow and slow target is not judged only after seconds.
+/// Bounds of the number of samples that a window needs. Within them it is two for each concurrent
+/// run, or one while the limit ramps up, so that a slow target with few slots is not evaluated only
+/// every few seconds.
 pub const WINDOW_SAMPLE_BOUNDS: (usize, usize) = (2, 16);
 
-/// Most samples kept of one window.
-const SAMPLE_CAP: usize = 64;
+/// Maximum number of samples retained in one window.
+const MAX_SAMPLES: usize = 64;
 
-/// Own time, as a multiple of the best known, from which concurrency is suspected as its cause.
+/// Own time, as a multiple of the best known, above which the concurrency may be the cause.
 pub const SLOW_FACTOR: f64 = 2.0;
 
 /// Own time, as a multiple of the best known, up to which the concurrency of a window counts as
-/// harmless.
+/// normal.
 pub const NORMAL_FACTOR: f64 = 1.25;
 
-/// Concurrency, as a multiple of the highest known to be harmless, from which it is suspected.
+/// Concurrency, as a multiple of the highest normal one, above which it may be the cause of a
+/// slowdown.
 pub const SUSPECT_FACTOR: f64 = 1.25;
 
-/// What a trial cut leaves of the limit.
+/// Share of the limit that remains after a trial reduction.
 pub const TRIAL_LIMIT_SHARE: f64 = 0.75;
 
-/// Share of the former own time below which a trial cut has proved itself.
+/// Share of the previous own time at or below which a trial reduction counts as successful.
 pub const TRIAL_SUCCESS_SHARE: f64 = 0.9;
 
-/// What a refusal by the target leaves of the limit.
+/// Share of the concurrency in use that remains as the limit after a refusal by the target.
 pub const REFUSAL_LIMIT_SHARE: f64 = 0.8;
 
-/// Share of the slots that a target which just came may use.
+/// Share of the slots that a newly started target may use.
 pub const COLD_START_SHARE: f64 = 0.25;
 
-/// Share of the slots that one window without trouble adds.
+/// Share of the slots by which a saturated window without a slowdown raises the limit.
 pub const INCREASE_SHARE: f64 = 0.05;
 
 /// How a run at the target ended, as far as the limit is concerned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunEnd {
-    /// The whole answer came.
+    /// The complete answer was received.
     Completed,
-    /// The run broke.
+    /// The run failed.
     Failed,
-    /// The target refused it, so it runs as many as it can.
+    /// The target refused the run, so its concurrency is at its maximum.
     Refused,
     /// The deadline passed; the latency is a lower bound.
     TimedOut,
-    /// The node cancelled it; its latency says nothing.
+    /// The node cancelled it; its latency is not meaningful.
     Cancelled,
 }
 
-/// What one run at the target showed.
+/// Measurement of one run at the target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RunSample {
     /// From dispatch to end.
     pub latency: Duration,
-    /// Of that, the time in which it waited for at least one call of its own.
+    /// Part of the latency during which the run waited for at least one call of its own.
     pub downstream: Duration,
     /// How it ended.
     pub end: RunEnd,
 }
 
-/// What a trial cut is compared with.
+/// State before a trial reduction, with which its result is compared.
 #[derive(Clone, Copy, Debug, Serialize)]
 struct LimitTrial {
     limit: f64,
     own: f64,
 }
 
-/// The limit and the windows that move it.
+/// The concurrency limit and the windows that adjust it.
 ///
-/// A cut by latency is a trial: if own time does not fall with concurrency, the cause lies
-/// elsewhere, and the limit is restored. A target that runs at a fifth of its speed for reasons of
-/// its own would otherwise lose its slots as well.
+/// A reduction because of latency is a trial: if the own time does not fall with the concurrency,
+/// the cause lies elsewhere and the limit is restored. Otherwise a target that runs at a fifth of
+/// its speed for internal reasons would lose its slots as well.
 #[derive(Clone, Debug, Serialize)]
 pub struct ConcurrencyLimit {
     slots: u32,
@@ -94,11 +96,14 @@
     ramping: bool,
     best: Option<f64>,
     /// The highest mean concurrency of a window whose own time was near the best.
-    harmless: f64,
+    #[serde(rename = "harmless")]
+    normal_concurrency: f64,
     trial: Option<LimitTrial>,
-    /// Whether the former window was crowded, too, so that this one saw a steady concurrency.
+    /// Whether the previous window was also slow at high concurrency, so that this window saw a
+    /// steady concurrency.
     suspected: bool,
-    /// Whether a trial began with this window, whose first runs still saw the former limit.
+    /// Whether a trial began with this window, whose first runs still started under the previous
+    /// limit.
     settling: bool,
     opened: time::NodeTime,
     peak: u32,
@@ -112,7 +117,7 @@
 }
 
 impl ConcurrencyLimit {
-    /// The limit of a target that just announced `slots`.
+    /// The initial limit of a target that has announced `slots`.
     pub fn new(now: time::NodeTime, slots: u32, policy: policy::OverloadPolicy) -> Self {
         let ramping = policy.cold_ramp && policy.adaptive_limit;
         let share = if ramping { COLD_START_SHARE } else { 1.0 };
@@ -121,7 +126,7 @@
             limit: (f64::from(slots) * share).max(1.0),
             ramping,
             best: None,
-            harmless: 0.0,
+            normal_concurrency: 0.0,
             running_sum: 0,
             starts: 0,
             trial: None,
@@ -135,7 +140,7 @@
         }
     }
 
-    /// Requests that may run at once; never above the slots, never below one.
+    /// Number of requests that may run concurrently: at least one, at most the slots.
     pub fn current(&self) -> u32 {
         #[expect(
             clippy::cast_possible_truncation,
@@ -146,7 +151,7 @@
         limit.clamp(1, self.usable())
     }
 
-    /// The slots less those that stay free.
+    /// Slots without those that stay free.
     fn usable(&self) -> u32 {
         let usable = match self.policy.spare_slots {
             true => self.slots - self.slots.div_ceil(SPARE_DIVISOR),
@@ -155,45 +160,45 @@
         usable.max(1)
     }
 
-    /// Follows a renewed announcement.
+    /// Applies the slots of a renewed announcement.
     pub fn set_slots(&mut self, slots: u32) {
-        let grown = slots > self.slots;
+        let increased = slots > self.slots;
         self.slots = slots;
         if !self.policy.adaptive_limit {
             self.limit = f64::from(slots);
-        } else if grown {
+        } else if increased {
             self.ramping = true;
         }
         self.limit = self.limit.min(f64::from(slots)).max(1.0);
     }
 
-    /// Notes how many requests run after one was started.
+    /// Records the number of running requests after a start.
     pub fn run_started(&mut self, running: u32) {
         self.peak = self.peak.max(running);
         self.running_sum += u64::from(running);
         self.starts += 1;
     }
 
-    /// Takes in the end of a run.
+    /// Records the end of a run.
     pub fn observe(&mut self, now: time::NodeTime, sample: RunSample) {
         if !self.policy.adaptive_limit {
             return;
         }
         match sample.end {
             RunEnd::Refused => self.refused += 1,
-            RunEnd::Completed | RunEnd::TimedOut => self.keep(now, sample),
+            RunEnd::Completed | RunEnd::TimedOut => self.record_sample(now, sample),
             RunEnd::Failed | RunEnd::Cancelled => {}
         }
-        self.close(now);
+        self.close_window(now);
     }
 
-    fn keep(&mut self, now: time::NodeTime, sample: RunSample) {
-        // Runs from before the window began show the former limit.
-        if sample.latency > now.since(self.opened) || self.samples.len() >= SAMPLE_CAP {
+    fn record_sample(&mut self, now: time::NodeTime, sample: RunSample) {
+        // Runs that started before the window ran under the previous limit.
+        if sample.latency > now.since(self.opened) || self.samples.len() >= MAX_SAMPLES {
             return;
         }
-        // Failure: a service deep below is sick and a healthy one waits for it. Symptom: latency
-        // rises at every service above. Own time leaves those waits out, so only the sick is cut.
+        // If a service further down the call chain is slow, latency rises at every service above it
+        // that waits for it. Own time leaves those waits out, so only the slow service is limited.
         let own = if self.policy.attribution {
             sample.latency.saturating_sub(sample.downstream)
         } else {
@@ -203,18 +208,18 @@
         self.samples.push(micros);
     }
 
-    fn close(&mut self, now: time::NodeTime) {
+    fn close_window(&mut self, now: time::NodeTime) {
         if now.since(self.opened) < LIMIT_WINDOW {
             return;
         }
         if self.refused > 0 {
             self.cut_for_refusals();
-        } else if self.samples.len() < self.needed() {
+        } else if self.samples.len() < self.needed_samples() {
             return;
         } else if self.settling {
             self.settling = false;
         } else {
-            self.judge();
+            self.evaluate();
         }
         self.opened = now;
         self.peak = 0;
@@ -224,10 +229,10 @@
         self.samples.clear();
     }
 
-    fn needed(&self) -> usize {
-        let (least, most) = WINDOW_SAMPLE_BOUNDS;
+    fn needed_samples(&self) -> usize {
+        let (min, max) = WINDOW_SAMPLE_BOUNDS;
         let rounds = if self.ramping { 1 } else { 2 };
-        (rounds * self.current() as usize).clamp(least, most)
+        (rounds * self.current() as usize).clamp(min, max)
     }
 
     fn cut_for_refusals(&mut self) {
@@ -237,7 +242,7 @@
         self.trial = None;
     }
 
-    fn judge(&mut self) {
+    fn evaluate(&mut self) {
         let own = median(&mut self.samples);
         if let Some(trial) = self.trial.take() {
             self.end_trial(trial, own);
@@ -245,29 +250,31 @@
         }
         let best = self.best.map_or(own, |best| best.min(own));
         self.best = Some(best);
-        let busy = f64::from(self.peak) >= self.limit.floor();
+        let saturated = f64::from(self.peak) >= self.limit.floor();
         let concurrency = self.concurrency();
         if own <= best * NORMAL_FACTOR {
-            self.harmless = self.harmless.max(concurrency);
+            self.normal_concurrency = self.normal_concurrency.max(concurrency);
         }
         if own > best * SLOW_FACTOR && self.limit > 1.0 {
-            self.suspect(own, concurrency, busy);
+            self.handle_slowdown(own, concurrency, saturated);
             return;
         }
         self.suspected = false;
-        if busy {
+        if saturated {
             self.raise();
         }
     }
 
-    /// Failure: a target slows for reasons of its own and loses slots as well. Symptom: a fifth of
-    /// the speed becomes a tenth of the answers. Where no more run than did before at full speed,
-    /// concurrency is not the cause, and the new time is the one to compare with.
-    fn suspect(&mut self, own: f64, concurrency: f64, busy: bool) {
+    /// Handles a window whose own time is far above the best known.
+    ///
+    /// A target that slows down for internal reasons must not lose slots as well: at a fifth of its
+    /// speed it would then complete only a tenth of the requests. If no more requests run than ran
+    /// before at full speed, concurrency is not the cause, and the new time becomes the baseline.
+    fn handle_slowdown(&mut self, own: f64, concurrency: f64, saturated: bool) {
         self.ramping = false;
-        if concurrency <= self.harmless * SUSPECT_FACTOR {
+        if concurrency <= self.normal_concurrency * SUSPECT_FACTOR {
             self.best = Some(own);
-        } else if busy && std::mem::replace(&mut self.suspected, true) {
+        } else if saturated && std::mem::replace(&mut self.suspected, true) {
             self.begin_trial(own);
         }
     }
--- a/crates/anvil_overload/src/policy.rs
+++ b/crates/anvil_overload/src/policy.rs
@@ -1,72 +1,77 @@
-//! Which safeguards are in force.
+//! Switches for the overload safeguards.
 //!
-//! Operators leave all of them on. The experiment and the tests turn one off at a time, so that a
-//! safeguard that changes nothing is found and taken out; see `docs/design/shedding.md`.
+//! Operators leave all of them on. The experiment and the tests turn them off one at a time, to
+//! find and remove safeguards that have no effect; see `docs/design/shedding.md`.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// Retries at each hop of the naive version, whatever the other hops do.
+/// Retries at each hop without [`OverloadPolicy::chain_allowance`], independent of the other hops.
 pub const NAIVE_HOP_RETRIES: u16 = 2;
 
-/// Time that a target is told without [`OverloadPolicy::cancellation`]: it works on for callers
-/// that have given up long ago, as targets without deadlines do.
+/// Timeout that targets are given without [`OverloadPolicy::cancellation`]: they keep working for
+/// callers that have long given up, as targets without deadlines do.
 pub const NAIVE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// One switch for each safeguard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct OverloadPolicy {
-    /// The limit at the target follows latency and refusals; without it, it is the slots.
+    /// The concurrency limit follows latency and refusals of the target; without it, the limit is
+    /// the number of slots.
     pub adaptive_limit: bool,
-    /// A few of the slots stay free, for targets that slow down when they are nearly full.
+    /// Some slots stay free, for targets that slow down when they are nearly full.
     pub spare_slots: bool,
-    /// A target that just came gets a part of its slots first.
+    /// A newly started target may use only a part of its slots at first.
     pub cold_ramp: bool,
-    /// A target's own time excludes its waits for other services.
+    /// The time that a target waits for other services is not attributed to it.
     pub attribution: bool,
-    /// The queue is ordered by class, depth and lane; without it, first come first served.
+    /// The queue is ordered by class, depth and lane; without it, in order of arrival.
     pub ranked_queue: bool,
-    /// The queue has bounded places and waits; without it, whatever comes waits.
+    /// The length and the waiting time of the queue are bounded; without it, every request is
+    /// queued.
     pub bounded_queue: bool,
-    /// Requests that can't end before their deadline are refused as not run.
+    /// Requests that cannot be completed before their deadline are refused without being run.
     pub deadline_drop: bool,
-    /// The target's node refuses below its cut line.
+    /// The target's node refuses requests below its cut line.
     pub cut_line: bool,
-    /// Callers' nodes refuse below the cut lines that they learned.
+    /// Callers' nodes refuse requests below the cut lines that answers reported.
     pub early_refusal: bool,
-    /// Cut lines of the services below are passed on upwards.
+    /// Cut lines of downstream services are passed on to callers.
     pub deep_refusal: bool,
-    /// Retries spend from the allowance of the whole chain; without it, each hop has
-    /// [`NAIVE_HOP_RETRIES`] of its own, also after server errors of idempotent requests.
+    /// Retries are paid from the allowance of the whole chain; without it, each hop has
+    /// [`NAIVE_HOP_RETRIES`] of its own, and also retries server errors of idempotent requests.
     pub chain_allowance: bool,
-    /// A node's retries are a bounded share of its first attempts.
+    /// The retries of a node are bounded to a share of its first attempts.
     pub retry_ratio: bool,
-    /// Retries wait, with jitter.
+    /// Retries are delayed by an exponential backoff with jitter.
     pub backoff: bool,
-    /// The better of two targets is chosen; without it, each in turn.
+    /// The better of two random targets is chosen; without it, targets are used in turn.
     pub better_of_two: bool,
-    /// Targets of the own availability zone are preferred.
+    /// Targets in the same availability zone are preferred.
     pub zone_preference: bool,
-    /// They are preferred strongly, where bytes between availability zones are dear.
+    /// Targets in the same availability zone are preferred strongly, for deployments where traffic
+    /// between zones is expensive.
     pub stay_in_zone: bool,
-    /// A target that just came gets a growing share of the requests.
+    /// A newly known target gets a gradually growing share of the requests.
     pub slow_start: bool,
-    /// Targets that fail are left out for a while.
+    /// Failing targets are ejected for a while.
     pub ejection: bool,
-    /// Children of a request that ended are cancelled, and the time left shrinks at each hop.
+    /// Downstream calls of a request that has ended are cancelled, and the remaining time is
+    /// reduced at each hop.
     pub cancellation: bool,
-    /// Requests that crash their targets are refused.
+    /// Requests that crash their targets are quarantined.
     pub quarantine: bool,
-    /// Entry nodes let requests in ahead of the count of their account's quota while it is far from
-    /// used up; without it, each request waits for the word of the account's home.
+    /// Entry nodes admit requests ahead of the home's count while an account is far below its
+    /// quota; without it, each request waits for the verdict of the account's home.
     pub tokens_ahead: bool,
 }
 
 impl OverloadPolicy {
-    /// Every safeguard in force that any fleet profits from. Spare slots cost a twentieth where a
-    /// target bears to be full, and staying in the zone sends more to a slow target next door.
+    /// All safeguards that help every fleet. `spare_slots` costs a twentieth of the capacity of
+    /// targets that can run at full load, and `stay_in_zone` sends more requests to a slow target
+    /// in the same zone.
     pub const FULL: Self = Self {
         adaptive_limit: true,
         spare_slots: false,
@@ -91,7 +96,7 @@
         tokens_ahead: true,
     };
 
-    /// None in force: each target in turn, fixed retries at each hop, no shedding by class.
+    /// No safeguards: targets in turn, fixed retries at each hop, no shedding by class.
     pub const NAIVE: Self = Self {
         adaptive_limit: false,
         spare_slots: false,
--- a/crates/anvil_overload/src/rank.rs
+++ b/crates/anvil_overload/src/rank.rs
@@ -1,40 +1,41 @@
-//! The order in which requests are served and shed; see `docs/design/shedding.md`.
+//! Order in which requests are served and shed; see `docs/design/shedding.md`.
 
 use anvil_types::context;
 use anvil_wire::call;
 use serde::{Deserialize, Serialize};
 
-/// Lanes of one class.
+/// Number of lanes in a class.
 pub const LANES: u16 = 256;
 
-/// Levels of all classes together; the level of a request says how late it is shed.
+/// Number of levels over all classes; requests at low levels are shed first.
 pub const LEVELS: u16 = LANES * 4;
 
-/// Lanes by which a line gives way to calls of requests that have begun.
+/// Number of lanes by which cut lines favor calls of requests that an entry node has admitted.
 ///
-/// Failure: each target of a deep service draws its own line, and these differ by some lanes from moment to
-/// moment. Symptom: a request that its entry node let in makes eight calls there and fails by the highest of
-/// eight lines, after most of its work is done. An entry node that follows the line refuses what lies below
-/// it within the next answers, so what is let in beyond it stays short.
+/// Each target of a downstream service sets its own cut line, and these lines differ by some lanes
+/// from moment to moment. Without the bonus, an admitted request that makes eight calls to the
+/// service fails at the highest of eight lines, after most of its work is done. Entry nodes follow
+/// the line within the next few answers, so few requests are admitted beyond it.
 pub const ADMITTED_LANE_BONUS: u16 = 64;
 
-/// Where a request stands among others.
+/// Rank of a request among others.
 ///
-/// The derived order is the order of service: a later one is served earlier.
+/// The derived order is the order of service: the greater rank is served first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct CallRank {
-    /// Importance; decides first.
+    /// Priority class; compared first.
     pub class: context::PriorityClass,
-    /// What the rules said of it, where the class is that of its client account; decides next.
+    /// Class that the rules gave the request, if its effective class comes from its client account;
+    /// compared second.
     pub by_rule: Option<context::PriorityClass>,
-    /// Hops above; decides next, since the cost of a deep request is already spent.
+    /// Number of hops above; compared third, because the cost of a deep request is already spent.
     pub depth: u8,
-    /// Lane, the low ones served first; decides last.
+    /// Lane; compared last, low lanes are served first.
     pub lane: std::cmp::Reverse<context::LaneHash>,
 }
 
 impl CallRank {
-    /// The rank that a call's context gives it.
+    /// The rank of a call with `context`.
     pub const fn of(context: &context::CallContext) -> Self {
         Self {
             class: context.class,
@@ -44,14 +45,14 @@
         }
     }
 
-    /// How late the request is shed, from zero to [`LEVELS`] less one; depth has no part in it,
-    /// so that every node sheds the same requests.
+    /// Shedding level of the request, from zero to [`LEVELS`] less one; requests at high levels are
+    /// shed last. It does not depend on the depth, so that every node sheds the same requests.
     pub fn level(&self) -> u16 {
         level(self.class, self.lane.0)
     }
 
-    /// The level at which lines are asked whether they admit the request: the calls of requests that have
-    /// begun stand [`ADMITTED_LANE_BONUS`] higher, within their class.
+    /// Level that is compared with cut lines: calls of admitted requests are
+    /// [`ADMITTED_LANE_BONUS`] lanes higher, within their class.
     pub fn admission_level(&self) -> u16 {
         if self.depth == 0 {
             return self.level();
@@ -65,12 +66,12 @@
     class as u16 * LANES + (LANES - 1 - u16::from(lane.0))
 }
 
-/// The lowest level that `line` admits; zero admits all.
+/// The lowest level that `line` admits; zero if there is no line.
 pub fn line_level(line: Option<&call::CutLine>) -> u16 {
     line.map_or(0, |line| level(line.class, line.lane))
 }
 
-/// The cut line that admits `level` and above; none where that is everything.
+/// The cut line that admits `level` and above, or `None` if that admits everything.
 pub fn line_for_level(level: u16) -> Option<call::CutLine> {
     if level == 0 {
         return None;
--- a/crates/anvil_overload/src/refusal.rs
+++ b/crates/anvil_overload/src/refusal.rs
@@ -1,4 +1,5 @@
-//! Which rule, limit and revision refused a request, for `explain` and the dump.
+//! Records of refused requests, with the rule, limit and revision, for `explain` and the dump; and
+//! the pauses that refused callers are given.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -9,46 +10,46 @@
 
 use crate::rank;
 
-/// Refusals kept; a dump stays a few kilobytes.
+/// Number of refusals retained, so that a dump stays at a few kilobytes.
 pub const MAX_RECORDS: usize = 64;
 
-/// Shortest time after which a refused caller is told to come back.
+/// Shortest `retry-after` of a refused caller without an objective.
 pub const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Shares of what is left of the objective, in percent, between which refused callers return.
-const RETURN_SHARES: (u32, u32) = (15, 50);
+/// Range of the pause of a caller with an objective, in percent of the time left of the objective.
+const RETRY_SHARES: (u32, u32) = (15, 50);
 
-/// Shortest time after which a caller with an objective returns; the nodes' view of the pressure is
-/// a tenth of a second old.
-const RETURN_LEAST: Duration = Duration::from_millis(100);
+/// Shortest pause of a caller with an objective; the nodes' view of the load is a tenth of a second
+/// old.
+const MIN_RETRY_WITHIN: Duration = Duration::from_millis(100);
 
-/// Shortest time after which a caller returns to a service that nobody offers.
-const RESTART_PAUSE: Duration = Duration::from_millis(700);
+/// Shortest pause of a caller of a service that no node offers.
+const MIN_RESTART_PAUSE: Duration = Duration::from_millis(700);
 
 /// The limit that refused a request, with its value at that moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RefusalLimit {
-    /// The cut line of the service asked for, or of one below it.
+    /// The cut line of the requested service, or of one of its dependencies.
     Cut(Option<call::CutLine>),
     /// Places in the queue.
     QueuePlaces(u32),
-    /// The wait that was expected or had passed, and the one that the rule allows.
+    /// The expected or elapsed wait in the queue, and the wait that the rule allows.
     QueueWait {
         /// The wait.
         wait: Duration,
         /// The bound.
         allowed: Duration,
     },
-    /// Time left.
+    /// The time left before the deadline.
     Deadline,
-    /// The target leaves.
+    /// The target is leaving.
     Leaving,
-    /// Retries left for the whole chain.
+    /// The retries left for the whole chain.
     ChainRetries(u16),
-    /// Share of retries of this node, in percent.
+    /// The retry ratio of this node, in percent.
     RetryRatio(u8),
-    /// Crashes of targets that the request was part of, and the rule's bound.
+    /// Crashes of targets that were running the request, and the rule's bound.
     Crashes {
         /// Crashes seen.
         seen: u8,
@@ -57,22 +58,23 @@
     },
     /// The quota of a client account.
     Quota {
-        /// Time until there is a token again.
+        /// Time until the next token.
         pause: Duration,
-        /// Tokens left, where this node counts them.
+        /// Tokens left, if this node counts them.
         tokens: Option<f64>,
-        /// Whether the account's home decided; else this node did, since no home answered.
+        /// Whether the account's home decided; otherwise this node decided, because no home
+        /// answered.
         asked_home: bool,
     },
-    /// No limit of this module; the reason says it all.
+    /// No numeric limit; the refusal reason is sufficient.
     #[default]
     Other,
 }
 
-/// One refusal.
+/// A refused request.
 #[derive(Clone, Debug, Serialize)]
 pub struct RefusalRecord {
-    /// When, on this node's clock.
+    /// Time of the refusal on this node's clock.
     pub at: time::NodeTime,
     /// The root request.
     pub request: ident::RequestId,
@@ -80,64 +82,66 @@
     pub class: context::PriorityClass,
     /// Its lane.
     pub lane: context::LaneHash,
-    /// The service asked for.
+    /// The requested service.
     pub service: name::ServiceName,
     /// Why.
     pub reason: verdict::RefusalReason,
-    /// The limit and its value.
+    /// The limit that refused the request, with its value.
     pub limit: RefusalLimit,
-    /// The node whose limit it is.
+    /// The node that enforced the limit.
     pub by: ident::NodeId,
     /// The rule and the revision that set the limit.
     pub mark: treatment::RuleMark,
 }
 
-/// The last refusals of this node, the oldest first.
+/// The most recent refusals of this node, the oldest first.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct RefusalLog {
-    notes: VecDeque<RefusalRecord>,
+    #[serde(rename = "notes")]
+    records: VecDeque<RefusalRecord>,
     total: u64,
 }
 
 impl RefusalLog {
-    /// Keeps `note` and drops the oldest above [`MAX_RECORDS`].
-    pub fn push(&mut self, note: RefusalRecord) {
+    /// Appends `record` and drops the oldest one above [`MAX_RECORDS`].
+    pub fn push(&mut self, record: RefusalRecord) {
         self.total += 1;
-        if self.notes.len() == MAX_RECORDS {
-            self.notes.pop_front();
+        if self.records.len() == MAX_RECORDS {
+            self.records.pop_front();
         }
-        self.notes.push_back(note);
+        self.records.push_back(record);
     }
 
-    /// The refusals kept, the oldest first.
+    /// The retained refusals, the oldest first.
     pub fn records(&self) -> &VecDeque<RefusalRecord> {
-        &self.notes
+        &self.records
     }
 }
 
-/// When a caller with an objective does well to come back to a service under pressure.
+/// Pause after which a caller with an objective should retry a service under pressure.
 ///
-/// Coming back within the objective is worth all of the answer and later a part of it, so the pause
-/// is a part of what is left of the objective. The lane spreads the callers of one moment, so that
-/// they don't return together and push each other out.
+/// An answer within the objective has its full value and a later one only a part of it, so the
+/// pause is a share of the time left of the objective. The lane spreads callers that were refused
+/// at the same moment, so that they do not return together and displace each other again.
 pub fn retry_within(objective: Duration, elapsed: Duration, lane: context::LaneHash) -> Duration {
     let left = objective.saturating_sub(elapsed);
-    let (earliest, latest) = RETURN_SHARES;
+    let (earliest, latest) = RETRY_SHARES;
     let spread = left * (latest - earliest) / 100;
     let pause = left * earliest / 100 + spread * u32::from(lane.0) / 256;
-    pause.max(RETURN_LEAST)
+    pause.max(MIN_RETRY_WITHIN)
 }
 
-/// When a caller does well to come back to a service that no node offers at the moment: its targets
-/// or nodes are restarting, which takes a second or two.
+/// Pause after which a caller should retry a service that no node offers at the moment: its targets
+/// or nodes are restarting, which takes one or two seconds.
 pub fn retry_after_restart(lane: context::LaneHash) -> Duration {
     let spread = Duration::from_millis(u64::from(lane.0) * 500 / 256);
-    RESTART_PAUSE + spread
+    MIN_RESTART_PAUSE + spread
 }
 
-/// When a refused caller does well to come back: the further below the line, the later.
+/// Pause after which a refused caller should retry; it grows with the distance below the cut line.
 ///
-/// The lane spreads the callers of one moment over a second, so that they don't return together.
+/// The lane spreads callers that were refused at the same moment over a second, so that they do not
+/// return together.
 pub fn retry_after(line: Option<&call::CutLine>, rank: &rank::CallRank) -> Duration {
     let below = rank::line_level(line).saturating_sub(rank.level());
     let classes = u64::from(below / rank::LANES);
--- a/crates/anvil_overload/src/resend.rs
+++ b/crates/anvil_overload/src/resend.rs
@@ -1,16 +1,16 @@
-//! Allowances of root requests that a caller may send again; see `docs/design/retries.md`.
+//! Retry allowances of root requests that callers may resend; see `docs/design/retries.md`.
 
 use std::time::Duration;
 
 use anvil_types::{ident, time};
 use serde::Serialize;
 
-/// Requests kept in each of two generations; at 2,000 requests a second the younger fills in a
-/// second, which covers the resends of callers that don't wait.
+/// Capacity of each of two generations. At 2,000 requests a second the younger one fills in a
+/// second, which covers callers that resend without waiting.
 pub const GENERATION_CAPACITY: usize = 2_048;
 
-/// How long the spent allowance of a request binds its copies; a caller that comes back later is
-/// no part of the load that the bound is there for.
+/// How long the spent allowance of a request applies to its copies. A caller that resends later
+/// does not add to the load that the bound limits.
 pub const RESEND_TTL: Duration = Duration::from_secs(30);
 
 #[derive(Clone, Copy, Debug, Serialize)]
@@ -22,30 +22,30 @@
     touched: time::NodeTime,
 }
 
-/// What a copy of a request may spend.
+/// Retries that a copy of a request may spend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResendGrant {
-    /// The copy has this many retries beyond its first attempt.
+    /// The copy may spend this many retries beyond its first attempt.
     Granted(u16),
-    /// Earlier copies spent everything, or one is still out and holds it.
+    /// Earlier copies spent the whole allowance, or a running one holds it.
     Spent,
 }
 
-/// The allowances that root requests left behind.
+/// Remaining retry allowances of recent root requests.
 ///
-/// Failure: callers resend hard and each resend brings a full allowance. Symptom: the bound of
-/// the chain holds for each copy and not for the request. A copy that follows one which left this
-/// node spends one retry for itself; one that follows a refusal at this node spends none, since
-/// nothing was done for it.
+/// If each copy of a request had a full allowance, callers that resend aggressively would defeat
+/// the bound of the chain. A copy that follows one which was sent to another node therefore pays
+/// one retry for itself; one that follows a refusal at this node pays nothing, because no work was
+/// done for it.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct ResendLedger {
-    /// Sorted by request, as is the older one.
+    /// Sorted by request, as is `old`.
     young: Vec<RootEntry>,
     old: Vec<RootEntry>,
 }
 
 impl ResendLedger {
-    /// What a copy of `request` may spend where its rule allows `bound`; the copy holds it all
+    /// Retries that a copy of `request` may spend if its rule allows `bound`; the copy holds them
     /// until [`Self::end`].
     pub fn begin(
         &mut self,
@@ -76,7 +76,7 @@
         grant
     }
 
-    /// Keeps what a copy of `request` left, and whether it was sent to any node.
+    /// Records the retries that a copy of `request` left, and whether it was sent to any node.
     pub fn end(
         &mut self,
         now: time::NodeTime,
@@ -84,7 +84,7 @@
         left: u16,
         dispatched: bool,
     ) {
-        // A copy that was pushed out of memory meanwhile is not taken in again.
+        // An entry that was evicted meanwhile is not added again.
         if let Some(entry) = self.find(request) {
             entry.left = left;
             entry.dispatched |= dispatched;
