--- a/crates/anvil_overload/src/admission.rs
+++ b/crates/anvil_overload/src/admission.rs
@@ -1,4 +1,4 @@
-//! Which request runs next at the local target, and which is refused; see
+//! Admission queue of the local target: decides which request runs next and which is refused; see
 //! `docs/design/admission.md`.
 
 use std::time::Duration;
@@ -9,37 +9,37 @@
 
 use crate::{estimate, limit, policy, rank, refusal, shedding};
 
-/// Places in the queue for each announced slot; the expected wait bounds it further.
+/// Queue capacity for each announced slot; the expected wait bounds the queue further.
 pub const QUEUE_PLACES_PER_SLOT: usize = 8;
 
-/// Fewest places in the queue.
+/// Minimum queue capacity.
 pub const MIN_QUEUE_PLACES: usize = 16;
 
-/// A request that asks to run at the local target.
+/// A request that is offered to the local target.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct WaitingCall {
-    /// Names the request in later calls; chosen by the reducer, never used twice.
+    /// Identifies the request in later calls; assigned by the reducer and never reused.
     pub id: u64,
-    /// Where it stands among others.
+    /// Its rank among other requests.
     pub rank: rank::CallRank,
-    /// When its caller stops waiting.
+    /// Time at which its caller stops waiting.
     pub deadline: time::NodeTime,
-    /// Longest wait that its rule allows.
+    /// Longest wait in the queue that its rule allows.
     pub queue_wait: Duration,
-    /// Whether it is suspected of crashing targets, so that no two suspects run together.
+    /// Whether it is suspected of crashing targets; two suspects never run at the same time.
     pub suspect: bool,
 }
 
-/// What becomes of a request.
+/// Decision on a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AdmissionDecision {
-    /// Run it now.
+    /// The request starts now.
     Start(u64),
-    /// Refuse it; it did not run.
+    /// The request is refused and did not run.
     Refuse {
-        /// Which.
+        /// Id of the request.
         id: u64,
-        /// Why.
+        /// Reason of the refusal.
         reason: verdict::RefusalReason,
         /// The limit that refused it.
         limit: refusal::RefusalLimit,
@@ -66,15 +66,15 @@
     cut: shedding::CutControl,
     estimate: estimate::ServiceEstimate,
     leaving: bool,
-    /// Sorted by identity.
+    /// Sorted by id.
     running: Vec<RunningCall>,
-    /// Sorted by rank, the next to run at the end; equals stand in order of arrival.
+    /// Sorted by rank, the next to run last; requests of equal rank are in order of arrival.
     queue: Vec<QueuedCall>,
     policy: policy::OverloadPolicy,
 }
 
 impl AdmissionQueue {
-    /// The queue of a target that just announced `slots`.
+    /// The queue of a newly started target that announced `slots`.
     pub fn new(now: time::NodeTime, slots: u32, policy: policy::OverloadPolicy) -> Self {
         Self {
             slots,
@@ -88,11 +88,11 @@
         }
     }
 
-    /// A queue for a target that has served for a while, beside a node that has not.
+    /// The queue of a target that was already running when this node started.
     ///
-    /// Failure: a node is replaced and takes its target for cold. Symptom: three quarters of the
-    /// slots stay empty and the lowest classes are shed, though nothing happened to the target.
-    /// The target knows its own age; what it says wrongly is found by the limit as ever.
+    /// A replaced node must not treat its target as cold: three quarters of the slots would stay
+    /// empty and the lowest classes would be shed although the target did not change. The target
+    /// reports its own age; if the report is wrong, the adaptive limit corrects it.
     pub fn warm(now: time::NodeTime, slots: u32, policy: policy::OverloadPolicy) -> Self {
         let full = policy::OverloadPolicy {
             cold_ramp: false,
@@ -104,20 +104,20 @@
         }
     }
 
-    /// Follows a renewed announcement of the target.
+    /// Applies the slots of a renewed announcement.
     pub fn set_slots(&mut self, now: time::NodeTime, slots: u32) -> Vec<AdmissionDecision> {
         self.slots = slots;
         self.limit.set_slots(slots);
-        self.settle(now, Vec::new())
+        self.start_waiting(now, Vec::new())
     }
 
-    /// Begins the ramp again, for a target that crashed and announces itself anew.
+    /// Restarts the ramp, for a target that crashed and announces itself again.
     pub fn restart(&mut self, now: time::NodeTime) {
         self.limit = limit::ConcurrencyLimit::new(now, self.slots, self.policy);
         self.estimate = estimate::ServiceEstimate::default();
     }
 
-    /// Refuses whatever waits and whatever comes; runs in progress go on.
+    /// Refuses all waiting and future requests; running requests continue.
     pub fn leave(&mut self) -> Vec<AdmissionDecision> {
         self.leaving = true;
         let refuse = |queued: QueuedCall| {
@@ -130,21 +130,22 @@
         self.queue.drain(..).map(refuse).collect()
     }
 
-    /// Takes in a request; it starts, waits or is refused, and may displace a lower one.
+    /// Offers a request, which starts, waits or is refused, and may displace a request of lower
+    /// rank.
     pub fn offer(&mut self, now: time::NodeTime, call: WaitingCall) -> Vec<AdmissionDecision> {
-        self.follow(now);
+        self.update_cut(now);
         self.cut.count_arrival(&call.rank);
-        if let Some((reason, limit)) = self.refusal_of(now, &call) {
-            self.note_overflow(&call.rank, reason);
+        if let Some((reason, limit)) = self.check_refusal(now, &call) {
+            self.count_queue_refusal(&call.rank, reason);
             return vec![refuse(call.id, reason, limit)];
         }
         self.insert(now, call);
         let mut decisions = Vec::new();
-        self.displace(&mut decisions);
-        self.settle(now, decisions)
+        self.enforce_queue_bound(&mut decisions);
+        self.start_waiting(now, decisions)
     }
 
-    /// Takes in the end of a run and starts the next.
+    /// Records the end of a run and starts the next request.
     pub fn finish(
         &mut self,
         now: time::NodeTime,
@@ -159,35 +160,35 @@
             self.estimate.observe(sample.latency);
         }
         self.limit.observe(now, sample);
-        self.settle(now, Vec::new())
+        self.start_waiting(now, Vec::new())
     }
 
-    /// Forgets a request that waits, since nobody waits for it any more; true where it waited.
+    /// Removes a waiting request whose caller has gone away; returns whether it was waiting.
     pub fn cancel(&mut self, now: time::NodeTime, id: u64) -> bool {
         let before = self.queue.len();
         self.queue.retain(|queued| queued.call.id != id);
-        self.follow(now);
+        self.update_cut(now);
         before != self.queue.len()
     }
 
-    /// Refuses what waited too long.
+    /// Refuses requests that waited too long.
     pub fn wake(&mut self, now: time::NodeTime) -> Vec<AdmissionDecision> {
-        self.settle(now, Vec::new())
+        self.start_waiting(now, Vec::new())
     }
 
-    /// When [`Self::wake`] has something to do; none where nothing waits.
+    /// Time at which [`Self::wake`] must be called; `None` if no request waits.
     pub fn next_wake(&self) -> Option<time::NodeTime> {
         self.queue.iter().map(|queued| queued.expiry).min()
     }
 
-    /// Requests running, sorted by identity.
+    /// Number of running requests.
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// What is told to callers' nodes.
+    /// Load report for the nodes of callers.
     pub fn load(&mut self, now: time::NodeTime) -> call::LoadReport {
-        self.follow(now);
+        self.update_cut(now);
         call::LoadReport {
             running: count(self.running.len()),
             queued: self.queued(),
@@ -200,7 +201,7 @@
         }
     }
 
-    fn refusal_of(
+    fn check_refusal(
         &self,
         now: time::NodeTime,
         call: &WaitingCall,
@@ -213,8 +214,8 @@
         if now >= call.deadline {
             return Some((Reason::Deadline, Limit::Deadline));
         }
-        // A free slot is never left idle for the sake of an estimate or a line: the run that it
-        // gets is what corrects them once the pressure is gone.
+        // A slot is never left free because of an estimate or a cut line: the run that uses it
+        // provides the samples that correct them once the pressure has ended.
         if self.free_slot() && self.queue.is_empty() {
             return None;
         }
@@ -233,7 +234,7 @@
         None
     }
 
-    /// The wait behind everything that is served earlier.
+    /// Expected wait behind the requests that are served earlier.
     fn expected_wait(&self, rank: &rank::CallRank) -> Duration {
         let ahead = if self.policy.ranked_queue {
             let place = self.queue.partition_point(|other| other.call.rank < *rank);
@@ -260,22 +261,22 @@
         self.queue.insert(place, QueuedCall { call, expiry });
     }
 
-    /// The lowest leaves when the queue is over its bound.
-    fn displace(&mut self, decisions: &mut Vec<AdmissionDecision>) {
+    /// Refuses the requests of the lowest rank while the queue exceeds its capacity.
+    fn enforce_queue_bound(&mut self, decisions: &mut Vec<AdmissionDecision>) {
         let places = (self.slots as usize * QUEUE_PLACES_PER_SLOT).max(MIN_QUEUE_PLACES);
         while self.policy.bounded_queue && self.queue.len() > places {
-            // Without ranks the first place is the latest arrival's, too.
-            let lost = self.queue.remove(0);
-            self.cut.count_overflow(&lost.call.rank);
+            // Without ranks, the first place holds the latest arrival.
+            let displaced = self.queue.remove(0);
+            self.cut.count_overflow(&displaced.call.rank);
             decisions.push(refuse(
-                lost.call.id,
+                displaced.call.id,
                 verdict::RefusalReason::QueueFull,
                 refusal::RefusalLimit::QueuePlaces(count(places)),
             ));
         }
     }
 
-    fn settle(
+    fn start_waiting(
         &mut self,
         now: time::NodeTime,
         mut decisions: Vec<AdmissionDecision>,
@@ -286,7 +287,7 @@
                 break;
             };
             let next = self.queue.remove(place).call;
-            if self.too_late(now, &next) {
+            if self.misses_deadline(now, &next) {
                 self.cut.count_overflow(&next.rank);
                 decisions.push(refuse(
                     next.id,
@@ -298,7 +299,7 @@
             self.start(next);
             decisions.push(AdmissionDecision::Start(next.id));
         }
-        self.follow(now);
+        self.update_cut(now);
         decisions
     }
 
@@ -327,17 +328,19 @@
         }
     }
 
-    /// Failure: a run starts that can't end in time. Symptom: slots are busy and no answer is
-    /// whole. Enough, since it is checked at the last moment before the run.
-    fn too_late(&self, now: time::NodeTime, call: &WaitingCall) -> bool {
+    /// Whether a request can no longer complete in time. Such runs would keep slots busy without
+    /// completing an answer; the check is made immediately before the run starts, so none of them
+    /// starts.
+    fn misses_deadline(&self, now: time::NodeTime, call: &WaitingCall) -> bool {
         let others_wait = !self.queue.is_empty();
         self.policy.deadline_drop
             && others_wait
             && now + self.estimate.lower_bound() > call.deadline
     }
 
-    /// The place of the next to run: the highest rank; of equals, the newest under strain, since
-    /// its caller is the likeliest to be waiting still, and the oldest otherwise.
+    /// Index of the request to run next: the one with the highest rank. Among equal ranks it is the
+    /// newest under pressure, because its caller is the most likely to be still waiting, and
+    /// otherwise the oldest.
     fn next_place(&self) -> Option<usize> {
         let isolated = self.running.iter().any(|run| run.suspect);
         let may_run = |queued: &QueuedCall| !(isolated && queued.call.suspect);
@@ -365,7 +368,7 @@
         self.running.len() < self.limit.current() as usize
     }
 
-    fn note_overflow(&mut self, rank: &rank::CallRank, reason: verdict::RefusalReason) {
+    fn count_queue_refusal(&mut self, rank: &rank::CallRank, reason: verdict::RefusalReason) {
         if reason == verdict::RefusalReason::QueueFull || reason == verdict::RefusalReason::Deadline
         {
             self.cut.count_overflow(rank);
@@ -381,18 +384,19 @@
         queued
     }
 
-    /// Requests in the queue that the line admits; the others only wait for slots left free.
-    fn standing(&self) -> usize {
+    /// Number of queued requests that the cut line admits; the others wait only for slots that
+    /// would stay free.
+    fn standing_len(&self) -> usize {
         let admitted = |queued: &&QueuedCall| self.cut.admits(&queued.call.rank);
         self.queue.iter().filter(admitted).count()
     }
 
-    fn follow(&mut self, now: time::NodeTime) {
+    fn update_cut(&mut self, now: time::NodeTime) {
         let view = shedding::QueueSnapshot {
             service_time: self.estimate.mean(),
             limit: self.limit.current(),
             running: count(self.running.len()),
-            standing: self.standing(),
+            standing: self.standing_len(),
         };
         self.cut.observe(now, view);
     }
--- a/crates/anvil_overload/src/quarantine.rs
+++ b/crates/anvil_overload/src/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests that crash the targets that run them; see `docs/design/quarantine.md`.
+//! Quarantine of requests that crash the targets running them; see `docs/design/quarantine.md`.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -9,70 +9,71 @@
 
 use crate::policy;
 
-/// Crashes beyond the rule's limit after which a request is refused though others always ran
-/// beside it.
+/// Crashes beyond the rule's limit after which a request is quarantined even if other suspects were
+/// running during each of them.
 pub const AMBIGUOUS_CRASH_MARGIN: u8 = 2;
 
-/// How long a suspect stays one without a further crash.
+/// Time after its last crash for which a request remains a suspect.
 pub const SUSPECT_TTL: Duration = Duration::from_secs(60);
 
-/// Suspects remembered; at 40 slots a target that is the crowd of some fifty crashes.
+/// Capacity of the list of suspects; for targets with 40 slots it holds the requests of about fifty
+/// crashes.
 pub const MAX_SUSPECTS: usize = 2_048;
 
-/// Crashes remembered, so that a notice heard twice counts once.
+/// Number of crashes remembered, so that a notice that is received twice counts once.
 pub const MAX_CRASH_MARKS: usize = 256;
 
-/// Prints whose whole answers are remembered, one for each value of their lowest byte; what everybody asks
-/// for is among them at any time, at 4 KB a node.
-const PROVED_KEPT: usize = 256;
+/// Slots for the fingerprints of requests that were answered completely, one for each value of the
+/// lowest byte. Requests that many callers send are present at any time; a node spends 4 KB on it.
+const ANSWERED_PRINT_SLOTS: usize = 256;
 
-/// Prints that were answered whole lately.
+/// Fingerprints of requests that were recently answered completely.
 #[derive(Clone, Debug, Default)]
-struct ProvedPrints {
-    kept: Vec<Option<(ident::PrintHash, time::NodeTime)>>,
+struct AnsweredPrints {
+    slots: Vec<Option<(ident::PrintHash, time::NodeTime)>>,
 }
 
-impl ProvedPrints {
-    fn note(&mut self, now: time::NodeTime, print: ident::PrintHash) {
-        self.kept.resize(PROVED_KEPT, None);
-        self.kept[place_of(print)] = Some((print, now));
+impl AnsweredPrints {
+    fn insert(&mut self, now: time::NodeTime, print: ident::PrintHash) {
+        self.slots.resize(ANSWERED_PRINT_SLOTS, None);
+        self.slots[slot_of(print)] = Some((print, now));
     }
 
-    /// Whether `print` was answered whole within [`SUSPECT_TTL`].
-    fn holds(&self, now: time::NodeTime, print: ident::PrintHash) -> bool {
-        let kept = self.kept.get(place_of(print)).copied().flatten();
-        kept.is_some_and(|(known, at)| known == print && now.since(at) < SUSPECT_TTL)
+    /// Whether `print` was answered completely within [`SUSPECT_TTL`].
+    fn contains(&self, now: time::NodeTime, print: ident::PrintHash) -> bool {
+        let slot = self.slots.get(slot_of(print)).copied().flatten();
+        slot.is_some_and(|(known, at)| known == print && now.since(at) < SUSPECT_TTL)
     }
 }
 
-fn place_of(print: ident::PrintHash) -> usize {
+fn slot_of(print: ident::PrintHash) -> usize {
     usize::from(print.0.to_le_bytes()[0])
 }
 
-/// What is known of a request.
+/// Quarantine status of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PrintStatus {
-    /// Nothing.
+    /// No recent crash involved it.
     Clean,
-    /// It ran when a target crashed; it may run, with no other suspect beside it.
+    /// It was running when a target crashed; it may run, but not beside another suspect.
     Suspect,
-    /// It is refused.
+    /// It is refused for a while.
     Quarantined {
-        /// Crashes that it was part of.
+        /// Crashes during which it was running.
         seen: u8,
         /// Crashes that its rule allows.
         allowed: u8,
-        /// How long it stays refused.
+        /// Time for which it is still refused.
         left: Duration,
     },
 }
 
-/// What a rule says about crashes.
+/// Limits that a rule sets for crashes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct CrashRule {
-    /// Crashes allowed.
+    /// Crashes that are allowed.
     pub limit: u8,
-    /// Time of refusal after the last one.
+    /// Time for which the request is refused after the last one.
     pub quarantine: Duration,
 }
 
@@ -83,11 +84,11 @@
     rule: CrashRule,
 }
 
-/// Runs that broke, while it is open whether the target crashed.
+/// Runs that broke while it is undecided whether the target crashed.
 #[derive(Clone, Debug, Serialize)]
 struct CrashGroup {
     broken: Vec<RunningPrint>,
-    /// Runs that were under way when the first one broke and have not ended yet, sorted.
+    /// Runs that were in progress when the first one broke and have not ended yet, sorted.
     waiting: Vec<u64>,
 }
 
@@ -98,22 +99,22 @@
     alone: bool,
     rule: CrashRule,
     struck: time::NodeTime,
-    /// The crash of the last strike.
+    /// The crash that caused the last strike.
     crash: suspicion::CrashMark,
 }
 
 impl SuspectPrint {
-    /// One crash is bad luck. A request is condemned by the rule's number of crashes if no other
-    /// suspect ran beside it in one of them, which two requests can't both be; otherwise only
-    /// after [`AMBIGUOUS_CRASH_MARGIN`] more.
-    fn condemned(&self) -> bool {
+    /// Whether the crashes exceed the limit of the rule. A single crash may be a coincidence. The
+    /// limit applies if in one of the crashes no other suspect was running, which cannot hold for
+    /// two requests at once; otherwise [`AMBIGUOUS_CRASH_MARGIN`] more crashes are needed.
+    fn exceeds_limit(&self) -> bool {
         let limit = self.rule.limit.max(1);
-        let crowd = limit.saturating_add(AMBIGUOUS_CRASH_MARGIN);
-        self.strikes >= crowd || (self.alone && self.strikes >= limit)
+        let ambiguous_limit = limit.saturating_add(AMBIGUOUS_CRASH_MARGIN);
+        self.strikes >= ambiguous_limit || (self.alone && self.strikes >= limit)
     }
 
-    fn span(&self) -> Duration {
-        if self.condemned() {
+    fn ttl(&self) -> Duration {
+        if self.exceeds_limit() {
             self.rule.quarantine
         } else {
             SUSPECT_TTL
@@ -121,11 +122,11 @@
     }
 
     fn left(&self, now: time::NodeTime) -> Duration {
-        self.span().saturating_sub(now.since(self.struck))
+        self.ttl().saturating_sub(now.since(self.struck))
     }
 }
 
-/// Which requests were running when targets crashed.
+/// Requests that were running when targets crashed.
 #[derive(Clone, Debug, Serialize)]
 pub struct PoisonList {
     node: ident::NodeId,
@@ -137,13 +138,13 @@
     suspects: Vec<SuspectPrint>,
     marks: VecDeque<suspicion::CrashMark>,
     #[serde(skip)]
-    proved: ProvedPrints,
+    answered_prints: AnsweredPrints,
     #[serde(skip)]
     policy: policy::OverloadPolicy,
 }
 
 impl PoisonList {
-    /// An empty list of `node`.
+    /// Creates an empty list for `node`.
     pub fn new(node: ident::NodeId, policy: policy::OverloadPolicy) -> Self {
         Self {
             node,
@@ -152,17 +153,18 @@
             running: Vec::new(),
             suspects: Vec::new(),
             marks: VecDeque::new(),
-            proved: ProvedPrints::default(),
+            answered_prints: AnsweredPrints::default(),
             policy,
         }
     }
 
-    /// What is known of `print`.
+    /// Quarantine status of `print`.
     ///
-    /// Failure: some instances are lost for another reason, one after the other, and what everybody asks
-    /// for was out at each of them. Symptom: it is refused everywhere for the time of the quarantine. A
-    /// request that crashes its targets is never answered, so one that was answered whole within a
-    /// minute is not refused; it stays a suspect and runs apart from others.
+    /// If several instances are lost one after the other for another reason, a request that many
+    /// callers send was in progress at each of them and would be refused everywhere for the time of
+    /// the quarantine. A request that crashes its targets is never answered, so one that was
+    /// answered completely within a minute is not refused; it remains a suspect and runs apart from
+    /// other suspects.
     pub fn status(&self, now: time::NodeTime, print: ident::PrintHash) -> PrintStatus {
         let Some(suspect) = self.find(print) else {
             return PrintStatus::Clean;
@@ -170,7 +172,7 @@
         let left = suspect.left(now);
         if !self.policy.quarantine || left.is_zero() {
             PrintStatus::Clean
-        } else if suspect.condemned() && !self.proved.holds(now, print) {
+        } else if suspect.exceeds_limit() && !self.answered_prints.contains(now, print) {
             PrintStatus::Quarantined {
                 seen: suspect.strikes,
                 allowed: suspect.rule.limit,
@@ -181,16 +183,16 @@
         }
     }
 
-    /// Notes a run that starts at the local target.
+    /// Records a run that starts at the local target.
     pub fn run_started(&mut self, run: u64, print: ident::PrintHash, rule: CrashRule) {
         let entry = RunningPrint { run, print, rule };
         let place = self.running.partition_point(|known| known.run < run);
         self.running.insert(place, entry);
     }
 
-    /// Notes a run that ended without breaking; a whole answer takes one strike back.
+    /// Records a run that ended without breaking; a complete answer takes back one strike.
     ///
-    /// Returns a notice where the run was the last one that left open whether the target crashed.
+    /// Returns a notice if the run was the last one that left undecided whether the target crashed.
     pub fn run_ended(
         &mut self,
         now: time::NodeTime,
@@ -205,8 +207,8 @@
         let group = self.group.as_mut()?;
         let place = group.waiting.binary_search(&run).ok()?;
         if whole {
-            // Failure: one connection breaks and all that run are suspected. Symptom: a busy
-            // target runs them one by one. A target that goes on to answer did not crash.
+            // A target that still answers has not crashed. If a single broken connection made all
+            // running requests suspects, a busy target would run them one by one.
             self.group = None;
             return None;
         }
@@ -214,19 +216,20 @@
         self.conclude(now, service)
     }
 
-    /// Notes that a request was answered whole, here or by another node, which takes one strike back.
+    /// Records that this node or another one received a complete answer to a request, which takes
+    /// back one strike.
     ///
-    /// Without what other nodes answered, a caller's node that has no target to run the request would add
-    /// up the losses of a minute, and refuse what all targets serve.
+    /// Without the answers of other nodes, a caller's node without a local target would add up the
+    /// lost attempts of a minute and refuse requests that all targets serve.
     pub fn answered(&mut self, now: time::NodeTime, print: ident::PrintHash) {
-        self.proved.note(now, print);
+        self.answered_prints.insert(now, print);
         self.clear(print);
     }
 
-    /// Notes a run whose connection broke.
+    /// Records a run whose connection broke.
     ///
-    /// Returns a notice once every run that was under way has broken or ended without an answer:
-    /// then the target crashed.
+    /// Returns a notice once every run that was in progress has broken or ended without an answer,
+    /// which means that the target crashed.
     pub fn run_broken(
         &mut self,
         now: time::NodeTime,
@@ -246,10 +249,11 @@
         self.conclude(now, service)
     }
 
-    /// Notes that a whole node was lost with these requests out on it.
+    /// Records that a peer node was lost while it ran these requests.
     ///
-    /// The node may live on behind a broken network, so only a request that was a suspect before,
-    /// and the only one, counts as having been alone: the lost node kept suspects apart.
+    /// The node may still be alive behind a broken network. A request therefore counts as having
+    /// been alone only if it was a suspect before and no other one was, because the lost node ran
+    /// suspects apart.
     pub fn peer_lost(
         &mut self,
         now: time::NodeTime,
@@ -276,27 +280,28 @@
         notice
     }
 
-    /// Takes in what another node saw; false where it was known.
+    /// Applies the notice of another node; returns false if it was already known.
     pub fn apply_notice(
         &mut self,
         now: time::NodeTime,
         notice: &suspicion::SuspicionNotice,
     ) -> bool {
-        // Callers' nodes each know only their own share of a lost node's requests.
-        let whole = notice.crash.sequence > 0;
-        if whole && self.marks.contains(&notice.crash) {
+        // Notices without a sequence number come from callers' nodes, each of which knows only its
+        // own share of the requests of a lost node.
+        let has_sequence = notice.crash.sequence > 0;
+        if has_sequence && self.marks.contains(&notice.crash) {
             return false;
         }
         self.apply(now, notice);
         true
     }
 
-    /// Suspects and condemned at present.
+    /// Number of suspects and quarantined requests.
     pub fn len(&self) -> usize {
         self.suspects.len()
     }
 
-    /// Whether nobody is suspected.
+    /// Whether there are no suspects.
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty()
     }
@@ -306,9 +311,10 @@
             return;
         };
         let suspect = &mut self.suspects[place];
-        // What crashes its targets is not answered, so an answer takes a condemnation back as a whole; with
-        // one strike less it would be refused again as soon as the answer is forgotten.
-        suspect.strikes = match suspect.condemned() {
+        // A request that crashes its targets is never answered, so an answer clears a quarantined
+        // request completely. With only one strike less it would be refused again as soon as the
+        // answer is forgotten.
+        suspect.strikes = match suspect.exceeds_limit() {
             true => 0,
             false => suspect.strikes - 1,
         };
@@ -336,10 +342,12 @@
         Some(notice)
     }
 
-    /// Failure: innocents run beside the request that crashes the target. Symptom: they are
-    /// refused for good. If exactly one suspect was among them, the crash is its doing and nobody
-    /// else's; otherwise all share the suspicion and are kept apart from now on. A request that
-    /// broke with nothing beside it may have met a broken connection, so that counts as a crowd.
+    /// Returns the strikes for the runs of a crash.
+    ///
+    /// Requests that merely ran beside the one that crashes the target must not be quarantined. If
+    /// exactly one of them was a suspect, only it gets a strike; otherwise all become suspects and
+    /// run apart from now on. A request that broke with no other beside it may have hit a broken
+    /// connection, so it does not count as alone.
     fn strikes(&self, now: time::NodeTime, broken: &[RunningPrint]) -> Vec<suspicion::PrintStrike> {
         let suspected = |known: &&RunningPrint| self.status(now, known.print) != PrintStatus::Clean;
         let mut suspects = broken.iter().filter(suspected);
@@ -363,9 +371,11 @@
         }
     }
 
-    /// Failure: a page that everybody asks for is out many times at a node that is lost, and each caller's
-    /// node tells of its own share. Symptom: one loss gives it enough strikes to be refused everywhere for
-    /// the time of the quarantine. A crash therefore strikes a print once, however often it was running.
+    /// Adds one strike for `crash`.
+    ///
+    /// A frequent request may be running many times at a node that is lost, and each caller's node
+    /// reports its own share. Counted for each run, one loss would give the request enough strikes
+    /// to be refused everywhere. A crash therefore adds at most one strike to a fingerprint.
     fn strike(
         &mut self,
         now: time::NodeTime,
@@ -408,7 +418,7 @@
         if self.suspects.len() == MAX_SUSPECTS {
             let oldest = |place: &usize| {
                 let known = &self.suspects[*place];
-                (known.condemned(), known.struck)
+                (known.exceeds_limit(), known.struck)
             };
             if let Some(place) = (0..MAX_SUSPECTS).min_by_key(oldest) {
                 self.suspects.remove(place);
--- a/crates/anvil_overload/src/routing.rs
+++ b/crates/anvil_overload/src/routing.rs
@@ -1,4 +1,4 @@
-//! Which target gets the next request; see `docs/design/routing.md`.
+//! Routing table: chooses the target of each request; see `docs/design/routing.md`.
 
 use std::net::SocketAddr;
 
@@ -21,62 +21,63 @@
 };
 pub use target::{LOAD_EXPIRY, LOAD_FRESH, SLOW_START, SLOW_START_SHARE};
 
-/// By how much the wait at a target in another availability zone counts as longer: the own zone
-/// has to be busier by as much before requests leave it.
+/// Factor by which the expected wait at a target in another availability zone is increased; the own
+/// zone must be busier by this factor before requests leave it.
 pub const CROSS_ZONE_FACTOR: f64 = 1.5;
 
-/// Where bytes between availability zones are dear: the time that a target in another one has to
-/// save for each byte that would cross, in microseconds.
+/// Time that a target in another availability zone must save for each byte sent across, in
+/// microseconds; used if traffic between zones is expensive.
 ///
-/// One factor for all requests is the wrong measure: a claim of 10 KB and a call of 700 bytes pay
-/// the same, and claims left for a run that was some milliseconds faster. By bytes, a call waits
-/// for 150 ms before it leaves its zone and a claim for two seconds.
+/// A single factor for all requests does not fit: a claim of 10 KB and a call of 700 bytes would
+/// pay the same, and claims would leave their zone for a run that is a few milliseconds faster.
+/// With a cost by bytes, a call leaves its zone if it saves 150 ms, and a claim if it saves two
+/// seconds.
 pub const CROSS_ZONE_MICROS_PER_BYTE: f64 = 200.0;
 
-/// What membership knows of a target.
+/// A target as known by membership.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TargetRecord {
-    /// The node beside it.
+    /// The node beside the target.
     pub node: ident::NodeId,
-    /// Where that node accepts connections.
+    /// Address at which that node accepts connections.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// Availability zone of the node.
     pub zone: name::ZoneName,
-    /// Requests it can run at once.
+    /// Requests that it can run concurrently.
     pub slots: u32,
     /// Whether it is leaving.
     pub leaving: bool,
-    /// Which of the node's announcements told so.
+    /// Number of the node's announcement that contained this.
     pub announced: u32,
 }
 
 /// How an attempt ended, as far as routing is concerned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// The node answered and the answer is no failure of the target.
+    /// The node answered, and the answer does not indicate a failure of the target.
     Succeeded,
-    /// The target failed: a server error, or a broken run.
+    /// The target failed with a server error or a broken run.
     Failed,
-    /// The node or its target could not be reached, or was lost.
+    /// The node or its target was unreachable, or was lost during the attempt.
     Unreachable,
 }
 
-/// What the end of an attempt told.
+/// Result of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptReport<'a> {
     /// The class of the request.
     pub class: context::PriorityClass,
     /// Its kind.
     pub kind: kind::CallKind,
-    /// How it ended.
+    /// How the attempt ended.
     pub end: AttemptEnd,
-    /// The load of the target, where an answer came.
+    /// Load report of the target, if an answer came.
     pub load: Option<&'a call::LoadReport>,
-    /// Bytes of the target's answer, where one came.
+    /// Size of the target's answer in bytes, if one came.
     pub answer_bytes: Option<u32>,
 }
 
-/// What is asked of the table.
+/// Request for a routing decision.
 #[derive(Clone, Copy, Debug)]
 pub struct RouteQuery<'a> {
     /// The service.
@@ -85,33 +86,33 @@
     pub rank: rank::CallRank,
     /// Its kind.
     pub kind: kind::CallKind,
-    /// Its bytes.
+    /// Size of the request in bytes.
     pub bytes: u32,
-    /// Nodes that earlier attempts went to.
+    /// Nodes that earlier attempts were sent to.
     pub exclude: &'a [ident::NodeId],
 }
 
-/// What the table chose.
+/// Routing decision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteChoice {
-    /// Send it there.
+    /// Send the request to this target.
     Target {
         /// The node beside the target.
         node: ident::NodeId,
-        /// Where it accepts connections.
+        /// Address at which it accepts connections.
         address: SocketAddr,
-        /// Whether it stands in the own availability zone.
+        /// Whether it is in the same availability zone as this node.
         same_zone: bool,
     },
-    /// No target would admit it; this is the lowest of their lines.
+    /// No target would admit the request, because of this cut line.
     Shed(call::CutLine),
-    /// Every target is excluded, leaving or gone.
+    /// Every target is excluded or leaving, or none is left.
     NoTarget,
-    /// Nobody ever announced the service.
+    /// The service was never announced.
     UnknownService,
 }
 
-/// All known targets by service, with what their answers told.
+/// All known targets by service, with the state that their answers reported.
 #[derive(Clone, Debug, Serialize)]
 pub struct RouteTable {
     zone: name::ZoneName,
@@ -124,7 +125,7 @@
 }
 
 impl RouteTable {
-    /// An empty table of a node in `zone`.
+    /// Creates an empty table for a node in `zone`.
     pub fn new(zone: name::ZoneName, seed: u64, policy: policy::OverloadPolicy) -> Self {
         Self {
             zone,
@@ -134,25 +135,25 @@
         }
     }
 
-    /// Learns or renews a target.
+    /// Adds or updates a target.
     pub fn upsert(
         &mut self,
         now: time::NodeTime,
         service: &name::ServiceName,
         record: &TargetRecord,
     ) {
-        let near = record.zone == self.zone;
+        let is_same_zone = record.zone == self.zone;
         let routes = self.routes_or_insert(service);
         match routes.place(record.node) {
-            Ok(place) => routes.targets[place].renew(record, near),
+            Ok(place) => routes.targets[place].update(record, is_same_zone),
             Err(place) => {
-                let target = target::TargetRoute::new(now, record, near);
+                let target = target::TargetRoute::new(now, record, is_same_zone);
                 routes.targets.insert(place, target);
             }
         }
     }
 
-    /// Forgets a target; the service stays known.
+    /// Removes a target; the service stays known.
     pub fn remove(&mut self, service: &name::ServiceName, node: ident::NodeId) {
         let Some(routes) = self.routes_mut(service) else {
             return;
@@ -162,7 +163,7 @@
         }
     }
 
-    /// Chooses a target; call [`Self::request_sent`] when the request leaves.
+    /// Chooses a target; [`Self::request_sent`] must be called when the request is sent.
     pub fn choose(&mut self, now: time::NodeTime, query: RouteQuery<'_>) -> RouteChoice {
         let policy = self.policy;
         let Ok(place) = self.find(query.service) else {
@@ -171,7 +172,7 @@
         self.services[place].choose(now, &query, policy, &mut self.source)
     }
 
-    /// Counts a request of `class` that left for `node`.
+    /// Counts a request of `class` that was sent to `node`.
     pub fn request_sent(
         &mut self,
         service: &name::ServiceName,
@@ -183,7 +184,7 @@
         }
     }
 
-    /// Takes in the end of an attempt.
+    /// Records the end of an attempt.
     pub fn attempt_ended(
         &mut self,
         now: time::NodeTime,
@@ -209,12 +210,12 @@
             routes.deep.update(now, attempt.kind, load.deep.as_ref());
         }
         if policy.ejection {
-            health::review(now, &mut routes.targets, place);
+            health::update_ejection(now, &mut routes.targets, place);
         }
     }
 
-    /// The line below which requests of `kind` to `service` are refused, for its own pressure or
-    /// for that of a service below it.
+    /// The line below which requests of `kind` to `service` are refused, because of its own load or
+    /// of that of a downstream service.
     pub fn cut_line(
         &self,
         now: time::NodeTime,
@@ -225,7 +226,7 @@
         rank::line_for_level(self.services[place].line_level(now, kind, &[]))
     }
 
-    /// Nodes beside the targets of `service`, with their addresses.
+    /// The nodes beside the targets of `service`, with their addresses.
     pub fn nodes<'a>(
         &'a self,
         service: &name::ServiceName,
--- a/crates/anvil_overload/src/routing/choice.rs
+++ b/crates/anvil_overload/src/routing/choice.rs
@@ -1,4 +1,4 @@
-//! The choice among the targets of one service.
+//! Chooses among the targets of one service.
 
 use anvil_types::{ident, name, time};
 use rand_core::Rng;
@@ -8,28 +8,28 @@
 use crate::routing::{sizes, target};
 use crate::{cut, kind, policy, rank, routing};
 
-/// Targets that have told of their lines lately, from which the others are taken to be as they are.
-const LINES_KNOWN: usize = 2;
+/// Number of targets with known lines from which the lines of the other targets are inferred.
+const MIN_KNOWN_LINES: usize = 2;
 
-/// The targets of one service, as one caller's node knows them.
+/// The targets of one service, as known by a caller's node.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct ServiceRoutes {
     pub(super) service: name::ServiceName,
     turn: usize,
-    /// When the last line that any target reported has faded, so that quiet services cost nothing.
+    /// Time at which all reported lines have expired, so that services without lines cost nothing.
     pub(super) lines_until: time::NodeTime,
-    /// Lines of what the service needs below.
+    /// Cut lines of the downstream services.
     pub(super) deep: cut::CutTable,
-    /// How large the answers are.
+    /// Mean sizes of the answers.
     pub(super) sizes: sizes::AnswerSizes,
     /// Sorted by node.
     pub(super) targets: Vec<target::TargetRoute>,
 }
 
-/// Keeps two of a stream at random.
+/// Reservoir sample of two items of a stream.
 #[derive(Clone, Copy, Debug, Default)]
 struct PairDraw {
-    kept: [Option<usize>; 2],
+    picked: [Option<usize>; 2],
     seen: u32,
 }
 
@@ -37,20 +37,21 @@
     fn offer(&mut self, place: usize, source: &mut Pcg32) {
         self.seen += 1;
         if self.seen <= 2 {
-            self.kept[self.seen as usize - 1] = Some(place);
+            self.picked[self.seen as usize - 1] = Some(place);
             return;
         }
         let draw = source.next_u32() % self.seen;
-        if let Some(kept) = self.kept.get_mut(draw as usize) {
-            *kept = Some(place);
+        if let Some(picked) = self.picked.get_mut(draw as usize) {
+            *picked = Some(place);
         }
     }
 }
 
 impl PairDraw {
-    /// The two in random order, since the first is drawn from longer and wins ties.
+    /// The two items in random order, because the order of the sample is not uniform and the first
+    /// item wins ties.
     fn shuffled(&self, source: &mut Pcg32) -> [Option<usize>; 2] {
-        let [first, second] = self.kept;
+        let [first, second] = self.picked;
         let swap = second.is_some() && source.next_u32() & 1 == 1;
         if swap {
             [second, first]
@@ -84,12 +85,12 @@
             return self.next_in_turn(now, query, policy);
         }
         let picked = self.pick(now, query, policy, false, source);
-        // Failure: every target that is left stands ejected. Symptom: a service that could serve
-        // something serves nothing. The ejection therefore yields to the last resort.
+        // If all remaining targets are ejected, a service that could still answer some requests
+        // would answer none. Ejected targets are therefore used as a last resort.
         let picked = picked.or_else(|| self.pick(now, query, policy, true, source));
         match picked {
             Some(place) => self.targets[place].choice(),
-            None => self.nobody(now, query),
+            None => self.no_route(now, query),
         }
     }
 
@@ -103,7 +104,7 @@
         now: time::NodeTime,
         query: &routing::RouteQuery<'_>,
         policy: policy::OverloadPolicy,
-        ejected_too: bool,
+        allow_ejected: bool,
         source: &mut Pcg32,
     ) -> Option<usize> {
         if policy.early_refusal
@@ -111,29 +112,30 @@
         {
             return None;
         }
-        let mut near = PairDraw::default();
-        let mut far = PairDraw::default();
+        let mut preferred = PairDraw::default();
+        let mut other_zone = PairDraw::default();
         for (place, target) in self.targets.iter().enumerate() {
-            let fit = target.serves(now, query.exclude)
-                && (ejected_too || !target.ejected(now))
+            let eligible = target.is_available(now, query.exclude)
+                && (allow_ejected || !target.ejected(now))
                 && (!policy.early_refusal || target.admits(now, &query.rank));
-            if !fit {
+            if !eligible {
                 continue;
             }
-            if target.near || !policy.zone_preference {
-                near.offer(place, source);
+            if target.same_zone || !policy.zone_preference {
+                preferred.offer(place, source);
             } else {
-                far.offer(place, source);
+                other_zone.offer(place, source);
             }
         }
-        // With two near ones drawn, one far one is enough to notice that the zone is short.
-        let near_kept = near.shuffled(source);
-        let far_kept = far.shuffled(source);
-        let others = match near.seen {
-            0 => &far_kept[..],
-            _ => &far_kept[..1],
+        // With two targets of the same zone drawn, one of another zone is enough to notice that the
+        // own zone lacks capacity.
+        let preferred_pair = preferred.shuffled(source);
+        let other_zone_pair = other_zone.shuffled(source);
+        let candidates = match preferred.seen {
+            0 => &other_zone_pair[..],
+            _ => &other_zone_pair[..1],
         };
-        let drawn = near_kept.iter().chain(others).copied();
+        let drawn = preferred_pair.iter().chain(candidates).copied();
         let bytes = query.bytes.saturating_add(self.sizes.expected(query.kind));
         let cost = |place: &usize| {
             let target = &self.targets[*place];
@@ -152,22 +154,26 @@
         for step in 1..=count {
             let place = (self.turn + step) % count;
             let target = &self.targets[place];
-            let fit = target.serves(now, query.exclude)
+            let eligible = target.is_available(now, query.exclude)
                 && !target.ejected(now)
                 && (!policy.early_refusal || target.admits(now, &query.rank));
-            if fit {
+            if eligible {
                 self.turn = place;
                 return target.choice();
             }
         }
-        self.nobody(now, query)
+        self.no_route(now, query)
     }
 
-    fn nobody(&self, now: time::NodeTime, query: &routing::RouteQuery<'_>) -> routing::RouteChoice {
-        let some = |target: &target::TargetRoute| target.serves(now, query.exclude);
+    fn no_route(
+        &self,
+        now: time::NodeTime,
+        query: &routing::RouteQuery<'_>,
+    ) -> routing::RouteChoice {
+        let available = |target: &target::TargetRoute| target.is_available(now, query.exclude);
         let level = self.line_level(now, query.kind, query.exclude);
         match rank::line_for_level(level) {
-            Some(line) if self.targets.iter().any(some) => routing::RouteChoice::Shed(line),
+            Some(line) if self.targets.iter().any(available) => routing::RouteChoice::Shed(line),
             _ => routing::RouteChoice::NoTarget,
         }
     }
@@ -178,24 +184,25 @@
         kind: kind::CallKind,
         exclude: &[ident::NodeId],
     ) -> u16 {
-        let own = self.usual_level(now, exclude);
+        let own = self.median_level(now, exclude);
         own.max(self.deep.level(now, kind))
     }
 
-    /// The level that half of the targets admit.
+    /// The median of the levels that the targets admit.
     ///
-    /// With the lowest of all, whatever one target lets in would come from everywhere at once;
-    /// with the highest, a sick target would refuse what the others could take. Where enough of them
-    /// have told, the rest is taken to be as they are: a node that hears of a tenth of a large service
-    /// would otherwise refuse nothing, and its requests would be refused one target after the other.
-    fn usual_level(&self, now: time::NodeTime, exclude: &[ident::NodeId]) -> u16 {
+    /// With the lowest level, requests that only one target admits would arrive from all nodes at
+    /// once; with the highest, one overloaded target would refuse requests that the others could
+    /// run. If enough targets have reported their lines, the others are assumed to be alike.
+    /// Otherwise a node that receives answers from a tenth of a large service would refuse nothing,
+    /// and its requests would be refused by one target after the other.
+    fn median_level(&self, now: time::NodeTime, exclude: &[ident::NodeId]) -> u16 {
         if now >= self.lines_until {
             return 0;
         }
         let serving = self
             .targets
             .iter()
-            .filter(|target| target.serves(now, exclude));
+            .filter(|target| target.is_available(now, exclude));
         let mut levels = Vec::with_capacity(self.targets.len());
         let mut known = Vec::new();
         for target in serving {
@@ -205,7 +212,7 @@
                 known.push(level);
             }
         }
-        if known.len() >= LINES_KNOWN {
+        if known.len() >= MIN_KNOWN_LINES {
             levels = known;
         }
         if levels.is_empty() {
--- a/crates/anvil_overload/src/routing/health.rs
+++ b/crates/anvil_overload/src/routing/health.rs
@@ -1,4 +1,4 @@
-//! Leaves out targets that fail, within a floor.
+//! Ejects failing targets, but always keeps a minimum share in use.
 
 use std::time::Duration;
 
@@ -6,53 +6,57 @@
 
 use crate::routing::target;
 
-/// Attempts in a row that could not reach a target before it is left out.
+/// Consecutive attempts that could not reach a target before it is ejected.
 pub const MAX_CONSECUTIVE_FAILURES: u32 = 3;
 
-/// Smoothed share of failures from which a target is left out, if the others of its service are
-/// far below; a failure of something that all of them need leaves none out.
+/// Moving average of failures from which a target is ejected, if the other targets of the service
+/// are far below. If something that all targets depend on fails, none is ejected.
 pub const OUTLIER_RATE: f64 = 0.5;
 
-/// Share of the outlier's rate below which the mean of the others must lie.
+/// Share of the outlier's failure rate below which the mean of the other targets must lie.
 const OUTLIER_GAP: f64 = 0.5;
 
-/// Weight of one attempt in the smoothed share, as its divisor.
+/// Weight of one attempt in the moving average, as its divisor.
 pub(super) const RATE_DIVISOR: f64 = 8.0;
 
-/// How much longer the wait at a target counts whose attempts all fail: a target that fails at
-/// once has no queue and would draw everything.
+/// Factor for the expected wait at a target whose attempts all fail. A target that fails
+/// immediately has no queue and would otherwise attract all requests.
 pub const FAILURE_FACTOR: f64 = 16.0;
 
-/// How long a failure makes a target look worse.
+/// Time over which the effect of a failure on the choice fades.
 pub const FAILURE_DECAY: Duration = Duration::from_secs(4);
 
-/// First time of being left out; each further one in a row doubles it.
+/// Duration of the first ejection; each further one in a row doubles it.
 pub const FIRST_EJECTION: Duration = Duration::from_millis(500);
 
-/// Longest time of being left out.
+/// Longest ejection.
 pub const MAX_EJECTION: Duration = Duration::from_secs(8);
 
-/// Largest share of a service's targets that are left out at once.
+/// Largest share of the targets of a service that is ejected at the same time.
 pub const MAX_EJECTED_SHARE: f64 = 0.5;
 
-/// Leaves the target at `place` out where it fails more than its peers.
+/// Ejects the target at `place` if it fails more than its peers.
 ///
-/// Failure: a network fault at this node makes every target look dead. Symptom: all are left out
-/// and the service is gone. The floor keeps at least half of them in any case.
-pub(super) fn review(now: time::NodeTime, targets: &mut [target::TargetRoute], place: usize) {
+/// A network fault at this node makes every target look dead. Without a floor all targets would be
+/// ejected and the service would become unavailable; the floor keeps at least half of them.
+pub(super) fn update_ejection(
+    now: time::NodeTime,
+    targets: &mut [target::TargetRoute],
+    place: usize,
+) {
     let target = &targets[place];
     if target.ejected(now) {
         return;
     }
-    let lost = target.failures_in_a_row >= MAX_CONSECUTIVE_FAILURES;
+    let lost = target.consecutive_failures >= MAX_CONSECUTIVE_FAILURES;
     if !lost && !is_outlier(targets, place) {
-        if target.failures_in_a_row == 0 && target.failure_rate < OUTLIER_RATE / 4.0 {
+        if target.consecutive_failures == 0 && target.failure_rate < OUTLIER_RATE / 4.0 {
             targets[place].ejections = 0;
         }
         return;
     }
-    let out = targets.iter().filter(|other| other.ejected(now)).count();
-    if !floor_allows(out + 1, targets.len()) {
+    let ejected = targets.iter().filter(|other| other.ejected(now)).count();
+    if !floor_allows(ejected + 1, targets.len()) {
         return;
     }
     eject(now, &mut targets[place]);
@@ -69,10 +73,10 @@
     (total - rate) / others < rate * OUTLIER_GAP
 }
 
-fn floor_allows(out: usize, all: usize) -> bool {
+fn floor_allows(ejected: usize, total: usize) -> bool {
     #[expect(clippy::cast_precision_loss, reason = "counts of targets")]
-    let (out, all) = (out as f64, all as f64);
-    out <= all * MAX_EJECTED_SHARE
+    let (ejected, total) = (ejected as f64, total as f64);
+    ejected <= total * MAX_EJECTED_SHARE
 }
 
 fn eject(now: time::NodeTime, target: &mut target::TargetRoute) {
@@ -82,7 +86,7 @@
         .min(MAX_EJECTION);
     target.ejected_until = now + span;
     target.ejections += 1;
-    // The next attempt after that time decides: one failure more leaves it out again.
-    target.failures_in_a_row = MAX_CONSECUTIVE_FAILURES - 1;
+    // One more failure after the ejection ejects the target again.
+    target.consecutive_failures = MAX_CONSECUTIVE_FAILURES - 1;
     target.failure_rate = OUTLIER_RATE * 0.95;
 }
--- a/crates/anvil_overload/src/routing/target.rs
+++ b/crates/anvil_overload/src/routing/target.rs
@@ -1,4 +1,4 @@
-//! What a caller's node knows of one target.
+//! State of one target, as known by a caller's node.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,54 +12,58 @@
 /// How long a reported load counts in full.
 pub const LOAD_FRESH: Duration = Duration::from_millis(100);
 
-/// When a reported load counts no more.
+/// Age at which a reported load no longer counts.
 pub const LOAD_EXPIRY: Duration = Duration::from_secs(1);
 
-/// How long a target that just came gets less than its share.
+/// How long a newly known target gets less than its full share.
 pub const SLOW_START: Duration = Duration::from_secs(3);
 
-/// Share of its limit with which such a target begins.
+/// Share of its limit with which such a target starts.
 pub const SLOW_START_SHARE: f64 = 0.1;
 
-/// Share of the slots up to which a target counts as free.
+/// Utilization up to which a target counts as free.
 const FREE_SHARE: f64 = 0.5;
 
-/// Weight of the share in use among targets that are free alike.
+/// Weight of the utilization in the choice between targets that count as free.
 const TIE_WEIGHT: f64 = 0.05;
 
-/// Time of a run below which targets count as equally fast, in microseconds.
-const USUAL_LEAST: u32 = 1_000;
+/// Service time below which targets count as equally fast, in microseconds.
+const MIN_SERVICE_MICROS: u32 = 1_000;
 
-/// How long a leaving that an answer told counts where membership doesn't confirm it.
-const LEAVING_HOLD: Duration = Duration::from_secs(10);
+/// How long a leaving that an answer reported counts if membership does not confirm it.
+const LEAVING_REPORT_TTL: Duration = Duration::from_secs(10);
 
-/// A leaving that an answer told.
+/// An answer's report that its target is leaving.
 #[derive(Clone, Copy, Debug, Serialize)]
-struct ToldLeaving {
-    /// The node's latest announcement when it answered.
+struct LeavingReport {
+    /// Number of the node's latest announcement when it answered.
     announced: u32,
     at: time::NodeTime,
 }
 
-/// One target and what its answers told.
+/// One target and the state that its answers reported.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct TargetRoute {
     pub(super) node: ident::NodeId,
     pub(super) address: SocketAddr,
-    pub(super) near: bool,
+    #[serde(rename = "near")]
+    pub(super) same_zone: bool,
     slots: u32,
     leaving: bool,
-    /// Which of the node's announcements this goes back to.
+    /// Number of the node's announcement that the record is based on.
     announced: u32,
-    /// The leaving that an answer told, where one did.
-    told: Option<ToldLeaving>,
+    /// The leaving that an answer reported, if one did.
+    #[serde(rename = "told")]
+    leaving_report: Option<LeavingReport>,
     since: time::NodeTime,
     in_flight: [u32; context::PriorityClass::ALL.len()],
     #[serde(skip)]
     load: call::LoadReport,
-    heard: Option<time::NodeTime>,
+    #[serde(rename = "heard")]
+    reported_at: Option<time::NodeTime>,
     pub(super) cut: cut::DecayingCut,
-    pub(super) failures_in_a_row: u32,
+    #[serde(rename = "failures_in_a_row")]
+    pub(super) consecutive_failures: u32,
     pub(super) failure_rate: f64,
     failed_at: time::NodeTime,
     pub(super) ejections: u32,
@@ -67,21 +71,25 @@
 }
 
 impl TargetRoute {
-    pub(super) fn new(now: time::NodeTime, record: &routing::TargetRecord, near: bool) -> Self {
+    pub(super) fn new(
+        now: time::NodeTime,
+        record: &routing::TargetRecord,
+        same_zone: bool,
+    ) -> Self {
         Self {
             node: record.node,
             address: record.address,
-            near,
+            same_zone,
             slots: record.slots,
             leaving: record.leaving,
             announced: record.announced,
-            told: None,
+            leaving_report: None,
             since: now,
             in_flight: [0; context::PriorityClass::ALL.len()],
             load: call::LoadReport::default(),
-            heard: None,
+            reported_at: None,
             cut: cut::DecayingCut::default(),
-            failures_in_a_row: 0,
+            consecutive_failures: 0,
             failure_rate: 0.0,
             failed_at: time::NodeTime::START,
             ejections: 0,
@@ -89,27 +97,27 @@
         }
     }
 
-    pub(super) fn renew(&mut self, record: &routing::TargetRecord, near: bool) {
+    pub(super) fn update(&mut self, record: &routing::TargetRecord, same_zone: bool) {
         self.address = record.address;
-        self.near = near;
+        self.same_zone = same_zone;
         self.slots = record.slots;
         self.leaving = record.leaving;
         self.announced = record.announced;
     }
 
-    pub(super) fn serves(&self, now: time::NodeTime, exclude: &[ident::NodeId]) -> bool {
-        !self.leaving && !self.told_leaving(now) && !exclude.contains(&self.node)
+    pub(super) fn is_available(&self, now: time::NodeTime, exclude: &[ident::NodeId]) -> bool {
+        !self.leaving && !self.has_reported_leaving(now) && !exclude.contains(&self.node)
     }
 
-    /// Whether an answer told of a leaving that membership may not have heard of yet.
+    /// Whether an answer reported a leaving that membership may not know yet.
     ///
-    /// Failure: the refusal of a target that leaves is held against its successor. Symptom: this node
-    /// sends nothing there any more, so no answer corrects it, and once it is so for all targets of a
-    /// service every request is refused. A later announcement therefore ends it, and time does where
-    /// none arrives.
-    fn told_leaving(&self, now: time::NodeTime) -> bool {
-        self.told.as_ref().is_some_and(|told| {
-            told.announced >= self.announced && now.since(told.at) < LEAVING_HOLD
+    /// The refusal of a leaving target must not be held against its successor at the same node.
+    /// This node would send nothing there, so no answer would correct the state, and once this
+    /// applied to all targets of a service every request would be refused. The report therefore
+    /// ends with a later announcement, and otherwise after [`LEAVING_REPORT_TTL`].
+    fn has_reported_leaving(&self, now: time::NodeTime) -> bool {
+        self.leaving_report.as_ref().is_some_and(|report| {
+            report.announced >= self.announced && now.since(report.at) < LEAVING_REPORT_TTL
         })
     }
 
@@ -125,7 +133,7 @@
         routing::RouteChoice::Target {
             node: self.node,
             address: self.address,
-            same_zone: self.near,
+            same_zone: self.same_zone,
         }
     }
 
@@ -140,29 +148,29 @@
     ) {
         let in_flight = &mut self.in_flight[attempt.class as usize];
         *in_flight = in_flight.saturating_sub(1);
-        self.count(now, attempt.end);
+        self.count_result(now, attempt.end);
         let Some(load) = attempt.load else {
             return;
         };
         self.load = *load;
-        self.heard = Some(now);
+        self.reported_at = Some(now);
         self.cut.update(now, load.cut.as_ref());
         if load.leaving {
             let announced = load.announced;
-            self.told = Some(ToldLeaving { announced, at: now });
+            self.leaving_report = Some(LeavingReport { announced, at: now });
         }
     }
 
-    /// The wait that a new request of `class` may expect, in microseconds, made worse by distance
-    /// and by failures.
+    /// Expected wait of a new request of `class` in microseconds, increased for targets in other
+    /// zones and for failing targets.
     ///
-    /// Failure: a target full of lower work looks worse than one with a queue of equals, and a slow
-    /// one looks as good as a fast one with as many requests. Symptom: important requests gather at
-    /// one target and wait there. Lower classes therefore don't count, since they are served later,
-    /// and the time of a run does.
+    /// Requests of lower classes do not count, because they are served later, and the mean service
+    /// time does count. Otherwise a target with many requests of low classes would look worse than
+    /// one with a queue of equals, and a slow target as good as a fast one with the same number of
+    /// requests; important requests would gather at one target and wait there.
     ///
-    /// The reported load counts all callers and is stale; the requests in flight are exact and
-    /// only this node's. The larger of the two is the better bound.
+    /// The reported load includes all callers but is stale; the requests in flight are exact but
+    /// only those of this node. The larger of the two is the better bound.
     pub(super) fn cost(
         &self,
         now: time::NodeTime,
@@ -179,11 +187,11 @@
         let sent: u32 = self.in_flight[from..].iter().sum();
         let reported = f64::from(self.load.running + queued) * self.freshness(now);
         let ahead = reported.max(f64::from(sent));
-        let used = (ahead + 1.0) / self.width(now, policy);
-        // With slots free nobody waits; the share in use then only settles ties.
-        let wait = (used.max(FREE_SHARE) + used * TIE_WEIGHT) * self.usual();
-        let far = !self.near && policy.zone_preference;
-        let (distance, crossing) = match (far, policy.stay_in_zone) {
+        let used = (ahead + 1.0) / self.capacity(now, policy);
+        // If slots are free no request waits, and the utilization only decides ties.
+        let wait = (used.max(FREE_SHARE) + used * TIE_WEIGHT) * self.service_micros();
+        let other_zone = !self.same_zone && policy.zone_preference;
+        let (distance, crossing) = match (other_zone, policy.stay_in_zone) {
             (false, _) => (1.0, 0.0),
             (true, false) => (routing::CROSS_ZONE_FACTOR, 0.0),
             (true, true) => (1.0, f64::from(bytes) * routing::CROSS_ZONE_MICROS_PER_BYTE),
@@ -196,51 +204,51 @@
         wait * distance * failures + crossing
     }
 
-    /// The share of failures, which fades without new ones so that the target is tried again.
+    /// Failure rate, which fades if no new failures occur so that the target is tried again.
     fn recent_failures(&self, now: time::NodeTime) -> f64 {
         let age = now.since(self.failed_at).as_secs_f64();
         let span = routing::health::FAILURE_DECAY.as_secs_f64();
         self.failure_rate * (1.0 - age / span).max(0.0)
     }
 
-    fn usual(&self) -> f64 {
-        f64::from(self.load.usual_micros.max(USUAL_LEAST))
+    fn service_micros(&self) -> f64 {
+        f64::from(self.load.usual_micros.max(MIN_SERVICE_MICROS))
     }
 
-    fn width(&self, now: time::NodeTime, policy: policy::OverloadPolicy) -> f64 {
-        let known = if self.heard.is_some() && self.load.limit > 0 {
+    fn capacity(&self, now: time::NodeTime, policy: policy::OverloadPolicy) -> f64 {
+        let known = if self.reported_at.is_some() && self.load.limit > 0 {
             self.load.limit
         } else {
             self.slots
         };
-        let width = f64::from(known.max(1));
+        let capacity = f64::from(known.max(1));
         if !policy.slow_start {
-            return width;
+            return capacity;
         }
         let age = now.since(self.since).as_secs_f64() / SLOW_START.as_secs_f64();
-        width * age.clamp(SLOW_START_SHARE, 1.0)
+        capacity * age.clamp(SLOW_START_SHARE, 1.0)
     }
 
     fn freshness(&self, now: time::NodeTime) -> f64 {
-        let Some(heard) = self.heard else {
+        let Some(reported_at) = self.reported_at else {
             return 0.0;
         };
-        let age = now.since(heard).as_secs_f64();
-        let (fresh, gone) = (LOAD_FRESH.as_secs_f64(), LOAD_EXPIRY.as_secs_f64());
-        ((gone - age) / (gone - fresh)).clamp(0.0, 1.0)
+        let age = now.since(reported_at).as_secs_f64();
+        let (fresh, expiry) = (LOAD_FRESH.as_secs_f64(), LOAD_EXPIRY.as_secs_f64());
+        ((expiry - age) / (expiry - fresh)).clamp(0.0, 1.0)
     }
 
-    fn count(&mut self, now: time::NodeTime, end: routing::AttemptEnd) {
+    fn count_result(&mut self, now: time::NodeTime, end: routing::AttemptEnd) {
         let failed = end != routing::AttemptEnd::Succeeded;
         if failed {
             self.failed_at = now;
         }
         let sample = if failed { 1.0 } else { 0.0 };
         self.failure_rate += (sample - self.failure_rate) / routing::health::RATE_DIVISOR;
-        self.failures_in_a_row = match end {
-            routing::AttemptEnd::Unreachable => self.failures_in_a_row + 1,
+        self.consecutive_failures = match end {
+            routing::AttemptEnd::Unreachable => self.consecutive_failures + 1,
             routing::AttemptEnd::Succeeded => 0,
-            routing::AttemptEnd::Failed => self.failures_in_a_row,
+            routing::AttemptEnd::Failed => self.consecutive_failures,
         };
     }
 }
--- a/crates/anvil_overload/src/shedding.rs
+++ b/crates/anvil_overload/src/shedding.rs
@@ -1,4 +1,4 @@
-//! The cut line that a target's node draws from its own queue; see `docs/design/shedding.md`.
+//! Cut line that the node of a target derives from its own queue; see `docs/design/shedding.md`.
 
 use std::time::Duration;
 
@@ -8,66 +8,67 @@
 
 use crate::{demand, policy, rank};
 
-/// Shortest time over which pressure is judged.
+/// Shortest evaluation window.
 pub const MIN_CUT_WINDOW: Duration = Duration::from_millis(100);
 
-/// Longest time over which pressure is judged; in between it is two usual runs, since what a
-/// change of the line does is seen only after the runs that were under way.
+/// Longest evaluation window. In between it is two mean service times, because a change of the line
+/// shows only after the runs that were in progress.
 pub const MAX_CUT_WINDOW: Duration = Duration::from_millis(400);
 
-/// Bounds of the standing wait that counts as pressure; within them it is two usual runs, so that
-/// the slots never stand free for want of admitted requests.
+/// Lower bound of the standing wait that counts as pressure. Between the bounds it is two mean
+/// service times, so that slots do not become free for lack of admitted requests.
 pub const MIN_STANDING_BOUND: Duration = Duration::from_millis(20);
-/// See [`MIN_STANDING_BOUND`].
+/// Upper bound, see [`MIN_STANDING_BOUND`].
 pub const MAX_STANDING_BOUND: Duration = Duration::from_millis(200);
 
-/// Least and largest share of the admitted requests that one window cuts.
+/// Smallest and largest share of the admitted requests that one window excludes.
 pub const CUT_SHARE_BOUNDS: (f64, f64) = (0.05, 0.9);
 
-/// Admitted requests for each that the slots can run: some are cancelled or refused elsewhere, and
-/// a short queue costs less than a free slot.
+/// Ratio of admitted requests to those that the slots can run. Some requests are cancelled or
+/// refused elsewhere, and a short queue costs less than a free slot.
 pub const OVERBOOKING: f64 = 1.3;
 
-/// Use of the slots from which they count as full.
+/// Utilization from which the slots count as fully used.
 pub const FULL_UTILIZATION: f64 = 0.99;
 
-/// Use of the slots below which the pressure counts as gone.
+/// Utilization below which the pressure counts as over.
 pub const IDLE_UTILIZATION: f64 = 0.7;
 
-/// Step, in levels, by which a window that left slots free lowers the line; each further window
-/// whose use is below [`IDLE_UTILIZATION`] doubles it.
+/// Step, in levels, by which the line is lowered after a window that left slots free; each further
+/// window whose utilization is below [`IDLE_UTILIZATION`] doubles it.
 pub const RELEASE_STEP: u16 = 8;
 
-/// Longest step of release, in levels.
+/// Largest release step, in levels.
 pub const MAX_RELEASE_STEP: u16 = 512;
 
-/// Windows without any event after which the line is gone.
-const WINDOWS_TO_FORGET: u128 = 16;
+/// Windows without any event after which no line is left.
+const MAX_IDLE_WINDOWS: u128 = 16;
 
-/// What the queue says of itself at a change.
+/// State of the queue after a change.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct QueueSnapshot {
-    /// Usual time of a run.
+    /// Mean service time.
     pub service_time: Duration,
-    /// Requests that may run at once.
+    /// Concurrency limit.
     pub limit: u32,
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests in the queue that the line admits.
+    /// Number of queued requests that the line admits.
     pub standing: usize,
 }
 
-/// The cut line of one target and the windows that move it.
+/// The cut line of one target and the windows that adjust it.
 ///
-/// The standing queue is the signal, as in CoDel: the least length of the queue within a window,
-/// as time. A burst that drains within the window is no pressure, and what waits below the line
-/// is none either, since it only fills slots that would stand free. The line is raised at once to
-/// the level that leaves as many requests as the slots can run.
+/// The signal is the standing queue, as in CoDel: the minimum queue length within a window,
+/// expressed as a wait. A burst that drains within the window is not pressure. Neither are requests
+/// below the line, which only fill slots that would stay free. The line is raised at once to the
+/// level that admits as many requests as the slots can run.
 #[derive(Clone, Debug, Serialize)]
 pub struct CutControl {
     level: u16,
     step: u16,
-    strained: bool,
+    #[serde(rename = "strained")]
+    under_pressure: bool,
     opened: time::NodeTime,
     counted: time::NodeTime,
     busy_micros: u64,
@@ -76,7 +77,7 @@
     least_standing: usize,
     former_standing: usize,
     #[serde(skip)]
-    view: QueueSnapshot,
+    snapshot: QueueSnapshot,
     #[serde(skip)]
     demand: demand::LevelDemand,
     #[serde(skip)]
@@ -84,12 +85,12 @@
 }
 
 impl CutControl {
-    /// No line, and nothing seen.
+    /// Creates a control without a line.
     pub fn new(now: time::NodeTime, policy: policy::OverloadPolicy) -> Self {
         Self {
             level: 0,
             step: RELEASE_STEP,
-            strained: false,
+            under_pressure: false,
             opened: now,
             counted: now,
             busy_micros: 0,
@@ -97,33 +98,33 @@
             overflowed: 0,
             least_standing: 0,
             former_standing: 0,
-            view: QueueSnapshot::default(),
+            snapshot: QueueSnapshot::default(),
             demand: demand::LevelDemand::default(),
             policy,
         }
     }
 
-    /// The line in force; none where all are admitted.
+    /// The current line; `None` if all requests are admitted.
     pub fn cut_line(&self) -> Option<call::CutLine> {
         rank::line_for_level(self.level)
     }
 
     /// Whether the last window was under pressure.
     pub fn is_under_pressure(&self) -> bool {
-        self.strained
+        self.under_pressure
     }
 
-    /// Whether the line lies at `rank` or below it.
+    /// Whether the line admits `rank`.
     pub fn admits(&self, rank: &rank::CallRank) -> bool {
         rank.level() >= self.level
     }
 
-    /// Whether a request of `rank` that comes now is refused for the line's sake.
+    /// Whether an arriving request of `rank` is refused because of the line.
     pub fn refuses(&self, rank: &rank::CallRank) -> bool {
         rank.admission_level() < self.level
     }
 
-    /// Counts a request that arrived, admitted or not.
+    /// Counts an arriving request, admitted or not.
     pub fn count_arrival(&mut self, rank: &rank::CallRank) {
         let level = rank.level();
         self.demand.count_arrival(level);
@@ -132,50 +133,50 @@
         }
     }
 
-    /// Counts a request that the queue gave up: full, waited too long, or too late. Below the line
-    /// that is no pressure.
+    /// Counts a request that the queue refused or dropped because it was full, waited too long or
+    /// could not meet its deadline. Requests below the line do not count as pressure.
     pub fn count_overflow(&mut self, rank: &rank::CallRank) {
         if self.admits(rank) {
             self.overflowed += 1;
         }
     }
 
-    /// Follows a change of the queue, and closes the window where it is over.
-    pub fn observe(&mut self, now: time::NodeTime, view: QueueSnapshot) {
-        self.count_use(now);
+    /// Records a change of the queue, and closes the window if it is over.
+    pub fn observe(&mut self, now: time::NodeTime, snapshot: QueueSnapshot) {
+        self.count_busy_time(now);
         let span = now.since(self.opened);
         if span >= MIN_CUT_WINDOW && self.policy.cut_line {
-            self.judge(now, span);
+            self.evaluate(now, span);
         }
-        self.view = view;
-        self.least_standing = self.least_standing.min(view.standing);
+        self.snapshot = snapshot;
+        self.least_standing = self.least_standing.min(snapshot.standing);
     }
 
-    fn count_use(&mut self, now: time::NodeTime) {
+    fn count_busy_time(&mut self, now: time::NodeTime) {
         let span = u64::try_from(now.since(self.counted).as_micros()).unwrap_or(u64::MAX);
-        let running = self.view.running.min(self.view.limit);
+        let running = self.snapshot.running.min(self.snapshot.limit);
         self.busy_micros += span * u64::from(running);
         self.counted = now;
     }
 
-    fn judge(&mut self, now: time::NodeTime, span: Duration) {
-        let whole = (self.view.service_time * 2).clamp(MIN_CUT_WINDOW, MAX_CUT_WINDOW);
-        let used = self.used(span);
-        let standing = standing_wait(self.least_standing, self.view);
-        let bound = (self.view.service_time * 2).clamp(MIN_STANDING_BOUND, MAX_STANDING_BOUND);
-        let strained = self.overflowed > 0 || standing > bound;
-        if used < IDLE_UTILIZATION && !strained {
+    fn evaluate(&mut self, now: time::NodeTime, span: Duration) {
+        let window = (self.snapshot.service_time * 2).clamp(MIN_CUT_WINDOW, MAX_CUT_WINDOW);
+        let utilization = self.utilization(span);
+        let standing = standing_wait(self.least_standing, self.snapshot);
+        let bound = (self.snapshot.service_time * 2).clamp(MIN_STANDING_BOUND, MAX_STANDING_BOUND);
+        let under_pressure = self.overflowed > 0 || standing > bound;
+        if utilization < IDLE_UTILIZATION && !under_pressure {
             let windows = span.as_nanos() / MIN_CUT_WINDOW.as_nanos();
-            self.release_fast(windows.min(WINDOWS_TO_FORGET));
-        } else if span < whole {
+            self.release_fast(windows.min(MAX_IDLE_WINDOWS));
+        } else if span < window {
             return;
-        } else if strained {
+        } else if under_pressure {
             self.raise(span);
-        } else if used < FULL_UTILIZATION {
-            let room = (1.0 - used) * self.capacity(span) / span.as_secs_f64();
+        } else if utilization < FULL_UTILIZATION {
+            let room = (1.0 - utilization) * self.capacity(span) / span.as_secs_f64();
             self.level = self.demand.lowered(self.level, RELEASE_STEP * 4, room);
         }
-        self.strained = strained;
+        self.under_pressure = under_pressure;
         self.open(now, span);
     }
 
@@ -186,19 +187,19 @@
         self.admitted = 0;
         self.overflowed = 0;
         self.former_standing = self.least_standing;
-        self.least_standing = self.view.standing;
+        self.least_standing = self.snapshot.standing;
     }
 
-    /// Share of the slots that was in use.
-    fn used(&self, span: Duration) -> f64 {
-        let slots = span.as_secs_f64() * f64::from(self.view.limit.max(1));
+    /// Share of the slot time of the window that was in use.
+    fn utilization(&self, span: Duration) -> f64 {
+        let slots = span.as_secs_f64() * f64::from(self.snapshot.limit.max(1));
         Duration::from_micros(self.busy_micros).as_secs_f64() / slots
     }
 
-    /// Requests that the slots can run within `span`.
+    /// Number of requests that the slots can run within `span`.
     fn capacity(&self, span: Duration) -> f64 {
-        let usual = self.view.service_time.as_secs_f64().max(1e-6);
-        span.as_secs_f64() / usual * f64::from(self.view.limit)
+        let service_time = self.snapshot.service_time.as_secs_f64().max(1e-6);
+        span.as_secs_f64() / service_time * f64::from(self.snapshot.limit)
     }
 
     fn raise(&mut self, span: Duration) {
@@ -231,7 +232,7 @@
     }
 }
 
-fn standing_wait(queued: usize, view: QueueSnapshot) -> Duration {
+fn standing_wait(queued: usize, snapshot: QueueSnapshot) -> Duration {
     let queued = u32::try_from(queued).unwrap_or(u32::MAX);
-    view.service_time.saturating_mul(queued) / view.limit.max(1)
+    snapshot.service_time.saturating_mul(queued) / snapshot.limit.max(1)
 }
