--- a/crates/anvil_quota/src/effect.rs
+++ b/crates/anvil_quota/src/effect.rs
@@ -1,4 +1,4 @@
-//! What the ledger does to its surroundings, as data.
+//! Effects of the quota ledger, as data.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,21 +6,21 @@
 use anvil_types::{account, ident};
 use anvil_wire::quota;
 
-/// What becomes of a request that asks for a place in its account's quota.
+/// Decision on a request that counts against an account's quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuotaDecision {
-    /// It may go on.
+    /// The request may proceed.
     Granted,
-    /// The account's home is asked; [`QuotaEffect::Grant`] or [`QuotaEffect::Refuse`] follows.
+    /// The account's home must decide; [`QuotaEffect::Grant`] or [`QuotaEffect::Refuse`] follows.
     Pending,
-    /// It is beyond the quota.
+    /// The request exceeds the quota.
     Refused {
-        /// When its caller does well to come back.
+        /// Time after which its caller should retry.
         pause: Duration,
     },
 }
 
-/// Something to be done for the ledger.
+/// An effect that the caller of the ledger carries out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum QuotaEffect {
     /// Send a message; it may be lost.
@@ -30,39 +30,39 @@
         /// The message.
         message: quota::QuotaMessage,
     },
-    /// Let a request go on that waited.
+    /// Let a waiting request proceed.
     Grant {
-        /// Which.
+        /// Id of the request.
         call: u64,
     },
-    /// Refuse a request that waited.
+    /// Refuse a waiting request.
     Refuse {
-        /// Which.
+        /// Id of the request.
         call: u64,
-        /// When its caller does well to come back.
+        /// Time after which its caller should retry.
         pause: Duration,
     },
     /// Write a log line.
     Log(HomeChange),
 }
 
-/// A change in who counts an account.
+/// A change of the home of an account.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HomeChange {
-    /// This node counted the account and has learned of another home.
+    /// This node was the home and learned of another one.
     Left {
         /// The account.
         account: account::AccountId,
-        /// The other home.
+        /// The new home.
         home: ident::NodeId,
     },
-    /// Another node handed over what it let in.
+    /// Another node handed over the requests that it admitted.
     Taken {
         /// The account.
         account: account::AccountId,
         /// The other node.
         from: ident::NodeId,
-        /// Requests that it let in while this node counted the account too, less those given back.
+        /// Requests that it admitted while this node was the home as well, minus those given back.
         uses: i32,
     },
 }
--- a/crates/anvil_quota/src/entry.rs
+++ b/crates/anvil_quota/src/entry.rs
@@ -1,4 +1,5 @@
-//! One account at an entry node: what was let in, what waits, and what the home said last.
+//! One account at an entry node: its admitted and waiting requests, and the last verdict of its
+//! home.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -8,110 +9,112 @@
 
 use crate::{bucket, effect, meter};
 
-/// Time after which a report without an answer is sent again, for each time that it was sent.
-const RESEND: Duration = Duration::from_millis(50);
+/// Time after which an unanswered report is sent again, multiplied by the number of times it was
+/// sent.
+const RESEND_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Times that a report is sent before the home counts as silent.
-const SENDS: u8 = 3;
+/// Number of times that a report is sent before the home counts as silent.
+const MAX_SENDS: u8 = 3;
 
-/// Seconds of its usual use that a node may let in at once when no home answers any more; what was
-/// let in just before is counted at a home that can't be asked.
-const ALONE_SECONDS: f64 = 0.25;
+/// Initial tokens of a node that no home answers, in seconds of its recent rate. Requests admitted
+/// shortly before are counted at a home that is not reachable.
+const STANDALONE_BURST_SECONDS: f64 = 0.25;
 
-/// A request that waits for the home's word.
+/// A request that waits for the home's verdict.
 #[derive(Clone, Copy, Debug)]
 struct WaitingCall {
-    /// None where its caller has gone meanwhile.
+    /// `None` if its caller has gone away.
     call: Option<u64>,
-    /// Its place among the requests that waited in this session.
-    place: u32,
+    /// Its sequence number among the requests that waited in this session.
+    sequence: u32,
 }
 
 /// One account at an entry node.
 #[derive(Clone, Debug)]
 pub struct EntryAccount {
-    /// The home of the present session; none where no home answers.
+    /// The home of the current session; `None` if no home answers.
     pub home: Option<ident::NodeId>,
     session: u32,
-    /// What the home told of its count in this session; zero before its first word.
+    /// Term of the home's count in this session; zero before its first verdict.
     term: u32,
     spent: i32,
-    told: i32,
-    asked: u32,
+    acknowledged: i32,
+    requested: u32,
     granted: u32,
     ahead: u16,
     waiting: VecDeque<WaitingCall>,
-    due: Option<time::NodeTime>,
+    resend_at: Option<time::NodeTime>,
     sends: u8,
     unsent: bool,
     /// Whether the home stands in for others that did not answer.
     stands_in: bool,
-    /// Whether the home was asked again although it named another node.
-    insists: bool,
+    /// Whether the home was queried again although it named another node.
+    queries_again: bool,
     recent: meter::EventMeter,
-    alone: Option<bucket::TokenBucket>,
+    standalone: Option<bucket::TokenBucket>,
 }
 
 impl EntryAccount {
-    /// An account of which nothing is known yet.
+    /// An account without any state.
     pub fn new(now: time::NodeTime) -> Self {
         Self {
             home: None,
             session: 0,
             term: 0,
             spent: 0,
-            told: 0,
-            asked: 0,
+            acknowledged: 0,
+            requested: 0,
             granted: 0,
             ahead: 0,
             waiting: VecDeque::new(),
-            due: None,
+            resend_at: None,
             sends: 0,
             unsent: false,
             stands_in: false,
-            insists: false,
+            queries_again: false,
             recent: meter::EventMeter::new(now),
-            alone: None,
+            standalone: None,
         }
     }
 
-    /// Begins a session with another home, which has not heard of what waits and what was not counted.
+    /// Begins a session with another home, which has not received the waiting and the uncounted
+    /// requests.
     pub fn begin_session(&mut self, home: Option<ident::NodeId>, session: u32) {
         self.home = home;
         self.session = session;
         self.term = 0;
-        self.insists = false;
-        self.spent = self.spent.wrapping_sub(self.told);
-        self.told = 0;
+        self.queries_again = false;
+        self.spent = self.spent.wrapping_sub(self.acknowledged);
+        self.acknowledged = 0;
         self.granted = 0;
         self.ahead = 0;
-        self.asked = 0;
+        self.requested = 0;
         for waiting in &mut self.waiting {
-            self.asked += 1;
-            waiting.place = self.asked;
+            self.requested += 1;
+            waiting.sequence = self.requested;
         }
         self.sends = 0;
-        self.due = None;
-        self.unsent = home.is_some() && (self.spent != 0 || self.asked > 0);
+        self.resend_at = None;
+        self.unsent = home.is_some() && (self.spent != 0 || self.requested > 0);
         if home.is_some() {
-            self.alone = None;
+            self.standalone = None;
         }
     }
 
-    /// Notes whether the home stands in for others that did not answer.
+    /// Records whether the home stands in for others that did not answer.
     pub fn note_stand_in(&mut self, stands_in: bool) {
-        self.stands_in = stands_in || self.insists;
+        self.stands_in = stands_in || self.queries_again;
     }
 
-    /// Asks the home once more, though it takes another node for the home.
+    /// Queries the home again although it takes another node for the home.
     pub fn query_again(&mut self) {
-        self.insists = true;
+        self.queries_again = true;
         self.unsent = true;
     }
 
-    /// Lets a request in ahead of the home's count where its last word allows that.
+    /// Admits a request ahead of the home's count if the last verdict allows it.
     pub fn spend_ahead(&mut self, now: time::NodeTime) -> bool {
-        let uncounted = self.spent.wrapping_sub(self.told);
+        let uncounted = self.spent.wrapping_sub(self.acknowledged);
         let allowed = uncounted < i32::from(self.ahead);
         if allowed {
             self.spent = self.spent.wrapping_add(1);
@@ -121,17 +124,17 @@
         allowed
     }
 
-    /// Lets a request wait for the home's word.
+    /// Queues a request for the home's verdict.
     pub fn enqueue(&mut self, call: u64) {
-        self.asked += 1;
+        self.requested += 1;
         self.unsent = true;
         self.waiting.push_back(WaitingCall {
             call: Some(call),
-            place: self.asked,
+            sequence: self.requested,
         });
     }
 
-    /// Forgets a request that waits; its grant, if one comes, is given back.
+    /// Cancels a waiting request; if it is granted later, the token is given back.
     pub fn cancel(&mut self, call: u64) {
         let mut waiting = self.waiting.iter_mut();
         if let Some(found) = waiting.find(|waiting| waiting.call == Some(call)) {
@@ -139,17 +142,19 @@
         }
     }
 
-    /// Counts a request that the home let in, which is this node.
+    /// Counts a request that this node admitted as the home.
     pub fn count(&mut self, now: time::NodeTime) {
         self.recent.count(now);
     }
 
-    /// Gives back the token of a request that did not run; the home hears of it with the next report.
+    /// Gives back the token of a request that did not run; the home learns of it from the next
+    /// report.
     pub fn give_back(&mut self) {
         self.spent = self.spent.wrapping_sub(1);
     }
 
-    /// Decides a request while no home answers: this node goes on as it did, within its part.
+    /// Decides a request while no home answers: the node keeps its recent rate, or its part of the
+    /// quota if that is larger.
     pub fn admit_standalone(
         &mut self,
         now: time::NodeTime,
@@ -162,32 +167,32 @@
             rate: own.rate.max(usual),
             capacity: own.capacity.max(usual),
         };
-        let fresh = bucket::TokenBucket::new(now, usual * ALONE_SECONDS);
-        let alone = self.alone.get_or_insert(fresh);
-        alone.fill(now, size);
-        match alone.take() {
+        let initial = bucket::TokenBucket::new(now, usual * STANDALONE_BURST_SECONDS);
+        let standalone = self.standalone.get_or_insert(initial);
+        standalone.fill(now, size);
+        match standalone.take() {
             true => Ok(()),
-            false => Err(alone.time_until_token(size)),
+            false => Err(standalone.time_until_token(size)),
         }
     }
 
-    /// Takes all that wait, to be decided without a home.
+    /// Removes all waiting requests, to be decided without a home.
     pub fn take_waiting(&mut self) -> Vec<u64> {
         let waiting = self.waiting.drain(..);
         waiting.filter_map(|waiting| waiting.call).collect()
     }
 
-    /// Whether a verdict answers a report of the present session.
+    /// Whether a verdict answers a report of the current session.
     pub fn matches_session(&self, from: ident::NodeId, verdict: quota::UseVerdict) -> bool {
         self.home == Some(from) && verdict.session == self.session
     }
 
-    /// Whether the home has lost the count that this session refers to.
+    /// Whether the home no longer has the count that this session refers to.
     pub fn is_outdated(&self, from: ident::NodeId, verdict: quota::UseVerdict) -> bool {
         self.matches_session(from, verdict) && self.term != 0 && verdict.term != self.term
     }
 
-    /// Takes in what the home decided.
+    /// Applies a verdict of the home.
     pub fn apply_verdict(
         &mut self,
         now: time::NodeTime,
@@ -198,20 +203,20 @@
             return Vec::new();
         }
         self.term = verdict.term;
-        self.told = verdict.spent;
+        self.acknowledged = verdict.spent;
         self.ahead = verdict.ahead;
         self.sends = 0;
-        let mut fresh = verdict.granted - self.granted;
+        let mut new_grants = verdict.granted - self.granted;
         self.granted = verdict.granted;
         let pause = Duration::from_millis(u64::from(verdict.pause_millis));
         let mut effects = Vec::new();
         while let Some(front) = self.waiting.front().copied() {
-            if front.place > verdict.asked {
+            if front.sequence > verdict.asked {
                 break;
             }
             self.waiting.pop_front();
-            let granted = fresh > 0;
-            fresh = fresh.saturating_sub(1);
+            let granted = new_grants > 0;
+            new_grants = new_grants.saturating_sub(1);
             match (front.call, granted) {
                 (Some(call), true) => {
                     self.recent.count(now);
@@ -223,12 +228,12 @@
             }
         }
         if !self.awaits_answer() {
-            self.due = None;
+            self.resend_at = None;
         }
         effects
     }
 
-    /// The report to send, where there is something new or the last one seems lost.
+    /// The next report, if there is something new or the last one seems lost.
     pub fn report(
         &mut self,
         now: time::NodeTime,
@@ -237,51 +242,51 @@
         if !std::mem::take(&mut self.unsent) || self.home.is_none() {
             return None;
         }
-        if self.due.is_none() {
+        if self.resend_at.is_none() {
             self.sends = 1;
-            self.due = Some(now + RESEND);
+            self.resend_at = Some(now + RESEND_INTERVAL);
         }
         Some(quota::UseReport {
             account,
             session: self.session,
             term: self.term,
             spent: self.spent,
-            asked: self.asked,
+            asked: self.requested,
             stands_in: self.stands_in,
         })
     }
 
-    /// Sends again what was not answered in time; true where the home counts as silent.
+    /// Schedules the resend of an unanswered report; returns true if the home counts as silent.
     pub fn wake(&mut self, now: time::NodeTime) -> bool {
-        if self.due.is_none_or(|due| now < due) {
+        if self.resend_at.is_none_or(|resend_at| now < resend_at) {
             return false;
         }
-        if self.sends >= SENDS {
-            self.due = None;
+        if self.sends >= MAX_SENDS {
+            self.resend_at = None;
             return true;
         }
         self.sends += 1;
-        self.due = Some(now + RESEND * u32::from(self.sends));
+        self.resend_at = Some(now + RESEND_INTERVAL * u32::from(self.sends));
         self.unsent = true;
         false
     }
 
-    /// When [`Self::wake`] has something to do.
+    /// Time at which [`Self::wake`] must be called.
     pub fn next_wake(&self) -> Option<time::NodeTime> {
-        self.due
+        self.resend_at
     }
 
-    /// Requests that wait for the home's word.
+    /// Number of requests that wait for the home's verdict.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// What the home lets this node do ahead of its count.
+    /// Number of requests that the home lets this node admit ahead of its count.
     pub fn ahead(&self) -> u16 {
         self.ahead
     }
 
     fn awaits_answer(&self) -> bool {
-        !self.waiting.is_empty() || self.spent != self.told
+        !self.waiting.is_empty() || self.spent != self.acknowledged
     }
 }
--- a/crates/anvil_quota/src/handover.rs
+++ b/crates/anvil_quota/src/handover.rs
@@ -1,8 +1,9 @@
-//! What a node that counted an account hands over to the home that it learned of.
+//! Handover of the requests that a node counted for an account to the home that it has learned of.
 //!
-//! Failure: all processes were killed, and each new one finds the others bit by bit. Symptom: an account
-//! has a home for each partial view, and each lets in the whole rate until it learns of the others. What it
-//! let in meanwhile is told to the home, which counts as much of it as falls into its own time.
+//! After all processes were killed, the new ones discover each other gradually. An account then has
+//! a home in each partial view, and each home admits the whole rate until it learns of the others.
+//! Each of them reports the requests it admitted to the final home, which counts those that fall
+//! into its own time.
 
 use std::time::Duration;
 
@@ -11,28 +12,29 @@
 
 use crate::recent;
 
-/// Time after which a handover without an answer is sent again.
-const RESEND: Duration = Duration::from_millis(100);
+/// Time after which an unanswered handover is sent again.
+const RESEND_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Times that a handover is sent; a home that is gone by then is missed by membership soon.
-const SENDS: u8 = 10;
+/// Number of times that a handover is sent; if the home has died by then, membership soon removes
+/// it.
+const MAX_SENDS: u8 = 10;
 
-/// One handover that is not taken yet.
+/// A handover that was not confirmed yet.
 #[derive(Clone, Debug)]
 pub struct PendingHandover {
     /// The account.
     pub account: account::AccountId,
-    /// Counts this node's handovers.
+    /// Sequence number among the handovers of this node.
     pub number: u32,
-    /// What was let in.
+    /// The admitted requests.
     pub uses: recent::RecentUses,
-    /// When it is sent next.
+    /// Time of the next send.
     pub due: time::NodeTime,
     sends: u8,
 }
 
 impl PendingHandover {
-    /// A handover to be sent at `due` first.
+    /// A handover that is first sent at `due`.
     pub const fn new(
         account: account::AccountId,
         number: u32,
@@ -48,10 +50,10 @@
         }
     }
 
-    /// The message to send now.
+    /// The message to send now; schedules the next send.
     pub fn next_message(&mut self, now: time::NodeTime) -> quota::UseHandover {
         self.sends += 1;
-        self.due = now + RESEND;
+        self.due = now + RESEND_INTERVAL;
         quota::UseHandover {
             account: self.account,
             number: self.number,
@@ -59,8 +61,8 @@
         }
     }
 
-    /// Whether it was sent often enough.
+    /// Whether it was sent [`MAX_SENDS`] times.
     pub const fn is_exhausted(&self) -> bool {
-        self.sends >= SENDS
+        self.sends >= MAX_SENDS
     }
 }
--- a/crates/anvil_quota/src/home.rs
+++ b/crates/anvil_quota/src/home.rs
@@ -1,4 +1,4 @@
-//! The home of one account: the count that decides.
+//! One account at its home, whose count decides.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,56 +8,57 @@
 
 use crate::{bucket, meter, recent};
 
-/// Tokens of a home that has just become one, for the whole fleet. Its predecessor may have let in a
-/// whole burst a moment ago; these few keep an account within its quota from being refused meanwhile.
-const FRESH_TOKENS: f64 = 8.0;
+/// Initial tokens of a new home, for the whole fleet. The previous home may have admitted a whole
+/// burst just before; these few tokens keep an account within its quota from being refused
+/// meanwhile.
+const INITIAL_TOKENS: f64 = 8.0;
 
-/// Part of the capacity below which each request has to ask. What other nodes let in until they have
-/// heard of it comes out of this part.
-const RESERVE: f64 = 0.5;
+/// Share of the capacity below which each request needs a verdict. Requests that other nodes admit
+/// before they receive that verdict come out of this share.
+const RESERVE_SHARE: f64 = 0.5;
 
-/// Part of the tokens above the reserve that all nodes together may use ahead of the count.
-const AHEAD_PART: f64 = 0.25;
+/// Share of the tokens above the reserve that all nodes together may use ahead of the count.
+const AHEAD_SHARE: f64 = 0.25;
 
-/// Most requests that one node may let in ahead of the home's count.
-const AHEAD_LIMIT: f64 = 64.0;
+/// Maximum number of requests that one node may admit ahead of the home's count.
+const MAX_AHEAD: f64 = 64.0;
 
-/// Time without a request after which a home asks itself whether another one counted meanwhile.
-const UNUSED: Duration = Duration::from_secs(1);
+/// Time without a request after which another home may have counted meanwhile.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Reports that should have come, and did not, before a home believes that it is cut off.
-const REPORTS_MISSED: f64 = 8.0;
+/// Number of overdue reports after which a home considers itself partitioned.
+const MAX_MISSED_REPORTS: f64 = 8.0;
 
-/// Shortest silence of all entry nodes that counts; a busy network is silent for less.
-const SILENCE: Duration = Duration::from_millis(300);
+/// Shortest silence of all entry nodes that counts as a partition; a busy network has shorter ones.
+const MIN_SILENCE: Duration = Duration::from_millis(300);
 
-/// How long a report shows that others take a node for the home.
-const ASKED: Duration = Duration::from_millis(1_000);
+/// Time for which a report indicates that other nodes take this one for the home.
+const REPORT_TTL: Duration = Duration::from_millis(1_000);
 
-/// How long an entry node that says nothing is remembered.
-const NODE_KEPT: Duration = Duration::from_secs(30);
+/// Time after its last report at which an entry node is removed.
+const ENTRY_TTL: Duration = Duration::from_secs(30);
 
-/// Time between two handovers of a node that lets requests in beside the home.
+/// Interval between the handovers of a node that admits requests beside the home.
 const HANDOVER_INTERVAL: Duration = Duration::from_millis(250);
 
 /// A handover that was counted.
 #[derive(Clone, Copy, Debug)]
-struct TakenHandover {
+struct CountedHandover {
     from: ident::NodeId,
     number: u32,
     at: time::NodeTime,
 }
 
-/// What the home knows of one entry node.
+/// State of one entry node at the home.
 #[derive(Clone, Copy, Debug)]
 struct EntryNode {
     address: SocketAddr,
-    heard: time::NodeTime,
+    last_report: time::NodeTime,
     session: u32,
     spent: i32,
     asked: u32,
     granted: u32,
-    /// What it was last allowed to let in ahead.
+    /// Number of requests that it may admit ahead of the count.
     ahead: u16,
 }
 
@@ -66,98 +67,101 @@
 pub struct HomeAccount {
     term: u32,
     bucket: bucket::TokenBucket,
-    used: time::NodeTime,
-    /// Whether another node was, by this node's view, the home at some time since the last use.
-    moved: bool,
-    /// Reports of other nodes.
+    last_used: time::NodeTime,
+    /// Whether another node was the home, as this node sees it, at some time since the last use.
+    has_moved: bool,
+    /// Rate of the reports of other nodes.
     reports: meter::EventMeter,
     entries: sorted::SortedTable<ident::NodeId, EntryNode>,
-    /// What it let in lately.
+    /// Requests that it recently admitted.
     recent: recent::RecentUses,
-    /// Since when its bucket has filled without a break.
+    /// Time since which its bucket has been filled without interruption.
     active_since: time::NodeTime,
-    /// When it last handed over what it had let in.
-    handed_over: time::NodeTime,
+    /// Time of the last handover.
+    last_handover: time::NodeTime,
     /// Handovers of other nodes that were counted.
-    taken: Vec<TakenHandover>,
-    /// Whether it uses the whole rate, as one whose node sees all members.
-    whole: bool,
+    counted_handovers: Vec<CountedHandover>,
+    /// Whether it uses the full rate, because this node sees all members.
+    has_full_rate: bool,
 }
 
-/// A verdict and where it goes.
+/// A verdict and its destination.
 pub type AddressedVerdict = (SocketAddr, quota::UseVerdict);
 
 impl HomeAccount {
-    /// A home that has just become one, with `tokens` of its bucket.
+    /// Creates a home with `tokens` in its bucket.
     pub fn new(now: time::NodeTime, size: bucket::BucketSize, tokens: f64, term: u32) -> Self {
         let mut bucket = bucket::TokenBucket::new(now, size.capacity);
         bucket.cap(tokens);
         Self {
             term,
             bucket,
-            used: now,
-            moved: false,
+            last_used: now,
+            has_moved: false,
             reports: meter::EventMeter::new(now),
             entries: sorted::SortedTable::default(),
             recent: recent::RecentUses::new(now),
             active_since: now,
-            handed_over: now,
-            taken: Vec::new(),
-            whole: true,
+            last_handover: now,
+            counted_handovers: Vec::new(),
+            has_full_rate: true,
         }
     }
 
-    /// Notes that another node is the home by now; tells whether this one was until now.
+    /// Records that another node is the home now; returns whether this node was the home until now.
     pub fn mark_moved(&mut self) -> bool {
-        !std::mem::replace(&mut self.moved, true)
+        !std::mem::replace(&mut self.has_moved, true)
     }
 
-    /// Takes out what was let in lately, to be handed over; none where that is nothing.
+    /// Removes the recently admitted requests for a handover; `None` if there are none.
     pub fn take_uses(&mut self, now: time::NodeTime) -> Option<recent::RecentUses> {
         let uses = std::mem::replace(&mut self.recent, recent::RecentUses::new(now));
-        self.handed_over = now;
+        self.last_handover = now;
         (!uses.is_empty()).then_some(uses)
     }
 
-    /// Takes back what was not handed over.
+    /// Restores requests that were not handed over.
     pub fn restore_uses(&mut self, now: time::NodeTime, slices: [i32; recent::SLICES]) {
         self.recent.merge(now, &slices);
     }
 
-    /// Whether what is let in beside the home should be handed over again.
+    /// Whether requests admitted beside the home are due for a handover.
     pub fn is_handover_due(&self, now: time::NodeTime) -> bool {
-        now.since(self.handed_over) >= HANDOVER_INTERVAL && !self.recent.is_empty()
+        now.since(self.last_handover) >= HANDOVER_INTERVAL && !self.recent.is_empty()
     }
 
-    /// Counts what another node let in while this one was the home as well; none where it was counted
-    /// before, else how much it is.
+    /// Counts requests that another node admitted while this one was the home as well. Returns
+    /// their number, or `None` if the handover was already counted.
     pub fn take_handover(
         &mut self,
         now: time::NodeTime,
         size: bucket::BucketSize,
         from: ident::NodeId,
-        told: &quota::UseHandover,
+        handover: &quota::UseHandover,
     ) -> Option<i32> {
-        let known = |taken: &TakenHandover| (taken.from, taken.number) == (from, told.number);
-        if self.taken.iter().any(known) {
+        let known =
+            |counted: &CountedHandover| (counted.from, counted.number) == (from, handover.number);
+        if self.counted_handovers.iter().any(known) {
             return None;
         }
-        self.taken.push(TakenHandover {
+        self.counted_handovers.push(CountedHandover {
             from,
-            number: told.number,
+            number: handover.number,
             at: now,
         });
-        let uses = recent::uses_within(&told.slices, now.since(self.active_since));
+        let uses = recent::uses_within(&handover.slices, now.since(self.active_since));
         let uses = uses.round() as i32;
         self.bucket.charge_late(uses, size);
-        self.recent.merge(now, &told.slices);
+        self.recent.merge(now, &handover.slices);
         Some(uses)
     }
 
-    /// Fills the bucket before it is used, by a node that `is_home` or stands in for a silent one.
+    /// Fills the bucket before it is used by a node that is the home, or stands in for a silent
+    /// one.
     ///
-    /// Failure: a home moves to another node and back. Symptom: the bucket here filled while the other
-    /// node let requests in, and the account gets its burst twice.
+    /// If a home moves to another node and back, the bucket here has filled while the other node
+    /// admitted requests, and the account would get its burst twice. An idle bucket is therefore
+    /// reset to the initial tokens.
     pub fn prepare(
         &mut self,
         now: time::NodeTime,
@@ -166,41 +170,42 @@
         is_home: bool,
     ) {
         self.bucket.fill(now, size);
-        // The two sides of a cut share the rate already, so neither owes the other anything.
-        self.whole = share >= 1.0;
-        let unused = now.since(self.used) > UNUSED;
-        if unused && (self.moved || !is_home) {
+        // The two sides of a network partition share the rate, so neither owes the other anything.
+        self.has_full_rate = share >= 1.0;
+        let idle = now.since(self.last_used) > IDLE_TIMEOUT;
+        if idle && (self.has_moved || !is_home) {
             self.bucket.cap(initial_tokens(size, share));
             self.active_since = now;
         }
-        self.used = now;
-        self.moved = !is_home;
+        self.last_used = now;
+        self.has_moved = !is_home;
     }
 
-    /// Whether no other node can be heard any more, long before membership has found out.
+    /// Whether the reports of all other nodes have stopped, which shows long before membership
+    /// detects it.
     ///
-    /// Failure: the home of an account is cut off. Symptom: it goes on with the whole quota for its own
-    /// callers while the next node does so for all others.
+    /// A partitioned home would otherwise use the whole quota for its own callers while the next
+    /// node does the same for all others.
     pub fn is_partitioned(&self, now: time::NodeTime) -> bool {
-        let silent = self.reports.idle_time(now) > SILENCE;
-        silent && self.reports.missed_events(now) > REPORTS_MISSED
+        let silent = self.reports.idle_time(now) > MIN_SILENCE;
+        silent && self.reports.missed_events(now) > MAX_MISSED_REPORTS
     }
 
     /// Whether other nodes take this one for the home.
     pub fn receives_reports(&self, now: time::NodeTime) -> bool {
-        self.reports.rate(now) > 0.0 && self.reports.idle_time(now) < ASKED
+        self.reports.rate(now) > 0.0 && self.reports.idle_time(now) < REPORT_TTL
     }
 
-    /// Decides a request that came to the home itself.
+    /// Decides a request that arrived at the home itself.
     pub fn take(&mut self, size: bucket::BucketSize) -> Result<(), Duration> {
         if !self.bucket.take() {
             return Err(self.bucket.time_until_token(size));
         }
-        self.note_uses(self.used, 1);
+        self.note_uses(self.last_used, 1);
         Ok(())
     }
 
-    /// Follows a change of the quota.
+    /// Applies a change of the quota.
     pub fn refill(&mut self, now: time::NodeTime, size: bucket::BucketSize) {
         self.bucket.fill(now, size);
     }
@@ -208,63 +213,66 @@
     /// Gives back the token of a request that did not run.
     pub fn give_back(&mut self, size: bucket::BucketSize) {
         self.bucket.charge(-1, size);
-        self.note_uses(self.used, -1);
+        self.note_uses(self.last_used, -1);
     }
 
-    /// Counts what an entry node has let in, and decides what waits there.
+    /// Counts the requests that an entry node has admitted, and decides those that wait there.
     pub fn report(
         &mut self,
         now: time::NodeTime,
         size: bucket::BucketSize,
         from: (ident::NodeId, SocketAddr),
-        told: quota::UseReport,
+        report: quota::UseReport,
     ) -> Option<quota::UseVerdict> {
         let (node, address) = from;
         self.reports.count(now);
         let known = self.entries.get(node).copied();
         let mut entry = match known {
-            // Late by a session: it was counted at another home since.
-            Some(known) if told.session < known.session => return None,
-            Some(known) if told.session == known.session && told.term != 0 => known,
-            // The count that the session refers to is gone, so its sums mean nothing here.
-            _ if told.term != 0 && told.term != self.term => {
-                return Some(self.restart(told));
+            // The report belongs to an earlier session; another home has counted it since.
+            Some(known) if report.session < known.session => return None,
+            Some(known) if report.session == known.session && report.term != 0 => known,
+            // The home no longer has the count that the session refers to, so its sums have no
+            // meaning here.
+            _ if report.term != 0 && report.term != self.term => {
+                return Some(self.new_session_verdict(report));
             }
-            Some(known) if told.session == known.session => known,
+            Some(known) if report.session == known.session => known,
             _ => EntryNode {
                 address,
-                heard: now,
-                session: told.session,
+                last_report: now,
+                session: report.session,
                 spent: 0,
                 asked: 0,
                 granted: 0,
                 ahead: 0,
             },
         };
-        entry.heard = now;
+        entry.last_report = now;
         entry.address = address;
-        // A report that was overtaken asks for less than is decided already, and says nothing new.
-        if told.asked >= entry.asked {
-            let spent = told.spent.wrapping_sub(entry.spent);
+        // A report that was overtaken requests fewer tokens than were decided already, and contains
+        // nothing new.
+        if report.asked >= entry.asked {
+            let spent = report.spent.wrapping_sub(entry.spent);
             self.bucket.charge(spent, size);
             self.note_uses(now, spent);
-            entry.spent = told.spent;
-            for _ in entry.asked..told.asked {
+            entry.spent = report.spent;
+            for _ in entry.asked..report.asked {
                 if !self.bucket.take() {
                     break;
                 }
                 entry.granted += 1;
                 self.note_uses(now, 1);
             }
-            entry.asked = told.asked;
+            entry.asked = report.asked;
         }
-        let askers = self.entries.len() + usize::from(known.is_none());
-        entry.ahead = self.ahead(size, askers);
+        let entry_nodes = self.entries.len() + usize::from(known.is_none());
+        entry.ahead = self.ahead(size, entry_nodes);
         self.entries.insert(node, entry);
-        Some(self.verdict(size, told.account, &entry))
+        Some(self.verdict(size, report.account, &entry))
     }
 
-    /// Verdicts for nodes that let requests in ahead although the account has come near its quota.
+    /// Verdicts that end admission ahead of the count at all nodes, if the account has come near
+    /// its quota.
     pub fn revoke_ahead(
         &mut self,
         size: bucket::BucketSize,
@@ -273,9 +281,9 @@
         if self.ahead(size, self.entries.len()) > 0 {
             return Vec::new();
         }
-        let free = self.entries.keys_where(|entry| entry.ahead > 0);
-        let mut verdicts = Vec::with_capacity(free.len());
-        for node in free {
+        let nodes_ahead = self.entries.keys_where(|entry| entry.ahead > 0);
+        let mut verdicts = Vec::with_capacity(nodes_ahead.len());
+        for node in nodes_ahead {
             if let Some(entry) = self.entries.get_mut(node) {
                 entry.ahead = 0;
                 let entry = *entry;
@@ -285,17 +293,18 @@
         verdicts
     }
 
-    /// Forgets entry nodes that have said nothing for long.
+    /// Removes entry nodes that have not reported for long.
     pub fn remove_expired(&mut self, now: time::NodeTime) {
-        let old = |entry: &EntryNode| now.since(entry.heard) >= NODE_KEPT;
-        for node in self.entries.keys_where(old) {
+        let expired = |entry: &EntryNode| now.since(entry.last_report) >= ENTRY_TTL;
+        for node in self.entries.keys_where(expired) {
             self.entries.remove(node);
         }
-        self.taken.retain(|taken| now.since(taken.at) < NODE_KEPT);
+        self.counted_handovers
+            .retain(|counted| now.since(counted.at) < ENTRY_TTL);
     }
 
     fn note_uses(&mut self, now: time::NodeTime, uses: i32) {
-        if self.whole {
+        if self.has_full_rate {
             self.recent.count(now, uses);
         }
     }
@@ -305,22 +314,22 @@
         self.bucket.level()
     }
 
-    /// What each of so many entry nodes may let in ahead.
-    fn ahead(&self, size: bucket::BucketSize, askers: usize) -> u16 {
-        let spare = self.bucket.level() - size.capacity * RESERVE;
-        // A bucket of a few tokens has none to spare.
+    /// Number of requests that each of `entry_nodes` may admit ahead of the count.
+    fn ahead(&self, size: bucket::BucketSize, entry_nodes: usize) -> u16 {
+        let spare = self.bucket.level() - size.capacity * RESERVE_SHARE;
+        // A bucket with few tokens has none to spare.
         if spare < 1.0 {
             return 0;
         }
-        let each = spare * AHEAD_PART / askers.max(1) as f64;
-        each.clamp(1.0, AHEAD_LIMIT) as u16
+        let each = spare * AHEAD_SHARE / entry_nodes.max(1) as f64;
+        each.clamp(1.0, MAX_AHEAD) as u16
     }
 
-    /// Asks an entry node for a new session.
-    fn restart(&self, told: quota::UseReport) -> quota::UseVerdict {
+    /// A verdict that makes an entry node begin a new session.
+    fn new_session_verdict(&self, report: quota::UseReport) -> quota::UseVerdict {
         quota::UseVerdict {
-            account: told.account,
-            session: told.session,
+            account: report.account,
+            session: report.session,
             term: self.term,
             spent: 0,
             asked: 0,
@@ -352,7 +361,7 @@
     }
 }
 
-/// What a home that has just become one begins with.
+/// Initial tokens of a new home.
 pub fn initial_tokens(size: bucket::BucketSize, share: f64) -> f64 {
-    (FRESH_TOKENS * share).min(size.capacity)
+    (INITIAL_TOKENS * share).min(size.capacity)
 }
--- a/crates/anvil_quota/src/lib.rs
+++ b/crates/anvil_quota/src/lib.rs
@@ -1,9 +1,9 @@
-//! Quotas of client accounts, held over all nodes of a fleet.
+//! Quotas of client accounts, enforced over all nodes of a fleet.
 //!
-//! Each account has a *home*, the node that counts its requests. Entry nodes let requests in ahead of
-//! its word while the account is far below its quota, tell it at once, and ask before each request
-//! when the account is near it. [`ledger::QuotaLedger`] is both sides in one node; nothing in here
-//! reads a clock or opens a socket. See `docs/design/accounts.md`.
+//! Each account has a *home*, the node that counts its requests. While an account is far below its
+//! quota, entry nodes admit requests ahead of the home's count and report them at once; near the
+//! quota they request a verdict before each request. [`ledger::QuotaLedger`] implements both roles
+//! of a node; nothing in this crate reads a clock or opens a socket. See `docs/design/accounts.md`.
 
 pub mod bucket;
 pub mod effect;
