--- a/crates/anvil_quota/src/expiring.rs
+++ b/crates/anvil_quota/src/expiring.rs
@@ -1,40 +1,40 @@
-//! Nodes of which something holds for a while.
+//! A set of nodes whose entries expire.
 
 use std::time::Duration;
 
 use anvil_types::{ident, time};
 
-/// A few nodes, each with the time until which it is marked.
+/// A few nodes, each with the time until which it is in the set.
 #[derive(Clone, Debug, Default)]
 pub struct ExpiringNodes {
-    marked: Vec<(ident::NodeId, time::NodeTime)>,
+    nodes: Vec<(ident::NodeId, time::NodeTime)>,
 }
 
 impl ExpiringNodes {
-    /// Marks a node for `span`, from now on.
+    /// Adds a node for `span`, from now on.
     pub fn insert(&mut self, now: time::NodeTime, node: ident::NodeId, span: Duration) {
         self.remove(node);
-        self.marked.push((node, now + span));
+        self.nodes.push((node, now + span));
     }
 
-    /// Takes the mark off.
+    /// Removes a node.
     pub fn remove(&mut self, node: ident::NodeId) {
-        self.marked.retain(|(marked, _)| *marked != node);
+        self.nodes.retain(|(known, _)| *known != node);
     }
 
-    /// Whether a node is marked.
+    /// Whether the set contains a node.
     pub fn contains(&self, now: time::NodeTime, node: ident::NodeId) -> bool {
-        let mut marked = self.marked.iter();
-        marked.any(|(marked, until)| *marked == node && now < *until)
+        let mut nodes = self.nodes.iter();
+        nodes.any(|(known, until)| *known == node && now < *until)
     }
 
-    /// Drops the marks whose time is over.
+    /// Removes expired entries.
     pub fn remove_expired(&mut self, now: time::NodeTime) {
-        self.marked.retain(|(_, until)| now < *until);
+        self.nodes.retain(|(_, until)| now < *until);
     }
 
-    /// Whether no mark stands, those included whose time is over and that were not dropped yet.
+    /// Whether the set has no entries; expired entries count until they are removed.
     pub fn is_empty(&self) -> bool {
-        self.marked.is_empty()
+        self.nodes.is_empty()
     }
 }
--- a/crates/anvil_quota/src/ledger.rs
+++ b/crates/anvil_quota/src/ledger.rs
@@ -1,4 +1,4 @@
-//! The quotas of all accounts as one node sees them, as an entry node and as a home.
+//! Quota ledger of one node, as an entry node and as a home of accounts.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,35 +14,36 @@
 mod home_role;
 mod ring_role;
 
-/// Nodes that an account is asked for at: its home, and the next where the home is silent.
-const HOMES_TRIED: usize = 2;
+/// Number of nodes that are tried for an account: its home, and the next node if the home is
+/// silent.
+const MAX_HOMES: usize = 2;
 
-/// How long a node that did not answer is passed over.
-const SILENT_SPAN: Duration = Duration::from_secs(2);
+/// Time for which a node that did not answer is passed over.
+const SILENT_TTL: Duration = Duration::from_secs(2);
 
-/// Time between two looks for what may be forgotten.
-const TRIM_INTERVAL: Duration = Duration::from_secs(5);
+/// Interval between removals of expired state.
+const CLEANUP_INTERVAL: Duration = Duration::from_secs(5);
 
-/// When tokens are taken.
+/// When an entry node takes tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum TokenMode {
-    /// Ahead of the home's count while the account is far below its quota.
+    /// Ahead of the home's count, while the account is far below its quota.
     Ahead,
-    /// Each request waits for the home's word.
+    /// Each request waits for the home's verdict.
     #[serde(rename = "Ask")]
     PerRequest,
 }
 
-/// Sums since the start of the process.
+/// Counters since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct QuotaCounters {
-    /// Requests let in without waiting for another node.
+    /// Requests admitted without waiting for another node.
     pub granted_at_once: u64,
-    /// Requests let in by another node's word.
+    /// Requests admitted by a verdict of another node.
     pub granted_by_home: u64,
-    /// Requests refused as beyond their account's quota.
+    /// Requests refused because they exceed their account's quota.
     pub refused: u64,
-    /// Of these, refused while no home answered.
+    /// The refused requests that were decided while no home answered.
     pub refused_alone: u64,
     /// Tokens given back for requests that did not run.
     pub given_back: u64,
@@ -52,73 +53,74 @@
     pub messages: u64,
 }
 
-/// Where an account is counted at present.
+/// Where an account is counted now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum HomePlace {
-    Own,
+enum HomeLocation {
+    Local,
     Peer(ident::NodeId, SocketAddr),
-    Nobody,
+    Unreachable,
 }
 
-/// The quotas of one node.
+/// The quotas of all accounts at one node.
 #[derive(Clone, Debug)]
 pub struct QuotaLedger {
     node: ident::NodeId,
-    way: TokenMode,
+    mode: TokenMode,
     ring: ring::QuotaRing,
     quotas: sorted::SortedTable<account::AccountId, account::AccountQuota>,
     homes: sorted::SortedTable<account::AccountId, home::HomeAccount>,
     entries: sorted::SortedTable<account::AccountId, entry::EntryAccount>,
     /// Nodes that did not answer and are passed over.
-    silent: expiring::ExpiringNodes,
-    /// Nodes that were asked again though they did not answer, and are not so once more.
-    retried: expiring::ExpiringNodes,
-    /// Homes that confirmed a handover a moment ago.
-    heard: expiring::ExpiringNodes,
+    silent_nodes: expiring::ExpiringNodes,
+    /// Nodes that were retried although they had not answered, and are not retried again for a
+    /// while.
+    retried_nodes: expiring::ExpiringNodes,
+    /// Homes that recently confirmed a handover.
+    live_homes: expiring::ExpiringNodes,
     sessions: u32,
     terms: u32,
-    trim_at: time::NodeTime,
-    /// Accounts that have a report to send, some perhaps twice.
+    next_cleanup: time::NodeTime,
+    /// Accounts that have a report to send; may contain duplicates.
     unsent: Vec<account::AccountId>,
-    /// Changes that are not told yet.
+    /// Changes that were not logged yet.
     changes: Vec<effect::HomeChange>,
-    /// What is handed over and not taken yet; a few.
+    /// Handovers that are not confirmed yet; usually few.
     handovers: Vec<handover::PendingHandover>,
-    /// Handovers begun.
-    handed: u32,
-    introduction: ring_role::RingIntroduction,
-    /// No entry has anything due before.
-    due_at: Option<time::NodeTime>,
+    /// Number of handovers begun.
+    handover_count: u32,
+    announcement: ring_role::RingAnnouncement,
+    /// Earliest time at which an entry needs a wakeup.
+    next_due: Option<time::NodeTime>,
     counters: QuotaCounters,
 }
 
 impl QuotaLedger {
-    /// A node that knows no account and no member.
-    pub fn new(node: ident::NodeId, way: TokenMode) -> Self {
+    /// A ledger without accounts or members.
+    pub fn new(node: ident::NodeId, mode: TokenMode) -> Self {
         Self {
             node,
-            way,
+            mode,
             ring: ring::QuotaRing::default(),
             quotas: sorted::SortedTable::default(),
             homes: sorted::SortedTable::default(),
             entries: sorted::SortedTable::default(),
-            silent: expiring::ExpiringNodes::default(),
-            retried: expiring::ExpiringNodes::default(),
-            heard: expiring::ExpiringNodes::default(),
+            silent_nodes: expiring::ExpiringNodes::default(),
+            retried_nodes: expiring::ExpiringNodes::default(),
+            live_homes: expiring::ExpiringNodes::default(),
             sessions: 0,
             terms: 0,
-            trim_at: time::NodeTime::START,
+            next_cleanup: time::NodeTime::START,
             unsent: Vec::new(),
             changes: Vec::new(),
             handovers: Vec::new(),
-            handed: 0,
-            introduction: ring_role::RingIntroduction::default(),
-            due_at: None,
+            handover_count: 0,
+            announcement: ring_role::RingAnnouncement::default(),
+            next_due: None,
             counters: QuotaCounters::default(),
         }
     }
 
-    /// Sums since the start.
+    /// Counters since the start.
     pub fn counters(&self) -> &QuotaCounters {
         &self.counters
     }
@@ -128,7 +130,7 @@
         self.quotas.is_empty()
     }
 
-    /// Puts the quotas of all accounts in force; what is not named has none any more.
+    /// Applies the quotas of all accounts; accounts that are not listed have none.
     pub fn set_quotas(
         &mut self,
         now: time::NodeTime,
@@ -139,20 +141,20 @@
             self.quotas.insert(*account, *quota);
         }
         let mut out = Vec::new();
-        self.drop_unbounded(&mut out);
-        self.follow_quotas(now, &mut out);
+        self.remove_unlimited(&mut out);
+        self.apply_quotas(now, &mut out);
         out
     }
 
-    /// Forgets accounts that have no quota any more; what waits for one goes on.
-    fn drop_unbounded(&mut self, out: &mut Vec<effect::QuotaEffect>) {
+    /// Removes accounts without a quota and grants their waiting requests.
+    fn remove_unlimited(&mut self, out: &mut Vec<effect::QuotaEffect>) {
         let homes = self.homes.iter().map(|(account, _)| *account);
         let entries = self.entries.iter().map(|(account, _)| *account);
         let known = homes.chain(entries);
-        let gone: Vec<_> = known
+        let removed: Vec<_> = known
             .filter(|one| self.quotas.get(*one).is_none())
             .collect();
-        for account in gone {
+        for account in removed {
             self.homes.remove(account);
             let waiting = self.entries.remove(account);
             let waiting = waiting.map(|mut entry| entry.take_waiting());
@@ -161,8 +163,8 @@
         }
     }
 
-    /// Binds what was saved up by a higher rate to the present one.
-    fn follow_quotas(&mut self, now: time::NodeTime, out: &mut Vec<effect::QuotaEffect>) {
+    /// Caps tokens that accrued at a higher rate to the new size.
+    fn apply_quotas(&mut self, now: time::NodeTime, out: &mut Vec<effect::QuotaEffect>) {
         let homes: Vec<_> = self.homes.iter().map(|(account, _)| *account).collect();
         for account in homes {
             if let (Some(size), Some(home)) = (self.size(account), self.homes.get_mut(account)) {
@@ -172,13 +174,14 @@
         }
     }
 
-    /// Takes in a member that may be a home.
+    /// Adds a member that can be a home.
     pub fn member_up(&mut self, now: time::NodeTime, node: ident::NodeId, address: SocketAddr) {
         self.ring.insert(node, address);
         self.ring_changed(now);
     }
 
-    /// Drops a member; one that `crashed` may live on behind a cut, and uses its part there.
+    /// Removes a member; one that `crashed` may still be alive on the other side of a network
+    /// partition and use its share there.
     pub fn member_removed(&mut self, now: time::NodeTime, node: ident::NodeId, crashed: bool) {
         match crashed {
             true => self.ring.remove_crashed(now, node),
@@ -189,15 +192,15 @@
         self.ring_changed(now);
     }
 
-    /// Forgets what it counted as a home, after time has passed that it did not see.
+    /// Removes the counts of this node as a home after a pause of the process.
     ///
-    /// Failure: a home is frozen and wakes. Symptom: its buckets fill by the time that it slept, while
-    /// another node let requests in, and the account gets a burst twice.
+    /// After a pause, the buckets would fill for the time in which another node admitted requests,
+    /// and accounts would get their burst twice.
     pub fn on_pause(&mut self) {
         self.homes = sorted::SortedTable::default();
     }
 
-    /// Decides a request of `account`, which the caller of this function calls `call`.
+    /// Decides a request of `account`; the caller of this function identifies it as `call`.
     pub fn admit(
         &mut self,
         now: time::NodeTime,
@@ -207,25 +210,25 @@
         let Some(quota) = self.quotas.get(account).copied() else {
             return effect::QuotaDecision::Granted;
         };
-        let place = self.resolve_home(now, account);
-        let way = self.way;
-        let decided = match place {
-            HomePlace::Own if self.is_partitioned(now, account) => {
+        let location = self.resolve_home(now, account);
+        let mode = self.mode;
+        let result = match location {
+            HomeLocation::Local if self.is_partitioned(now, account) => {
                 self.admit_standalone(now, account, quota)
             }
-            HomePlace::Own => self.admit_at_home(now, account),
-            HomePlace::Peer(..) => {
+            HomeLocation::Local => self.admit_at_home(now, account),
+            HomeLocation::Peer(..) => {
                 self.unsent.push(account);
                 let entry = self.entry(now, account);
-                if way == TokenMode::PerRequest || !entry.spend_ahead(now) {
+                if mode == TokenMode::PerRequest || !entry.spend_ahead(now) {
                     entry.enqueue(call);
                     return effect::QuotaDecision::Pending;
                 }
                 Ok(())
             }
-            HomePlace::Nobody => self.admit_standalone(now, account, quota),
+            HomeLocation::Unreachable => self.admit_standalone(now, account, quota),
         };
-        match decided {
+        match result {
             Ok(()) => {
                 self.counters.granted_at_once += 1;
                 effect::QuotaDecision::Granted
@@ -254,14 +257,14 @@
         }
     }
 
-    /// Forgets a request that waits.
+    /// Cancels a waiting request.
     pub fn cancel(&mut self, account: account::AccountId, call: u64) {
         if let Some(entry) = self.entries.get_mut(account) {
             entry.cancel(call);
         }
     }
 
-    /// Takes a message of another node.
+    /// Handles a message of another node.
     pub fn on_message(
         &mut self,
         now: time::NodeTime,
@@ -275,66 +278,66 @@
                 self.on_report(now, (from, address), uses, &mut out);
             }
             quota::QuotaMessage::Verdict { verdicts } => {
-                self.silent.remove(from);
+                self.silent_nodes.remove(from);
                 for verdict in verdicts {
                     self.on_verdict(now, from, *verdict, &mut out);
                 }
             }
             quota::QuotaMessage::Behind => self.on_behind(now, (from, address), &mut out),
             quota::QuotaMessage::Between(hint) => self.on_between(*hint, &mut out),
-            quota::QuotaMessage::Handover(told) => {
-                self.on_handover(now, (from, address), told, &mut out);
+            quota::QuotaMessage::Handover(handover) => {
+                self.on_handover(now, (from, address), handover, &mut out);
             }
             quota::QuotaMessage::Taken { number } => self.handover_taken(now, from, *number),
         }
         out
     }
 
-    /// Does what is due.
+    /// Handles the timers that are due.
     pub fn on_wake(&mut self, now: time::NodeTime) -> Vec<effect::QuotaEffect> {
         let mut out = Vec::new();
-        self.silent.remove_expired(now);
-        self.retried.remove_expired(now);
-        self.heard.remove_expired(now);
-        if self.due_at.is_some_and(|due| due <= now) {
+        self.silent_nodes.remove_expired(now);
+        self.retried_nodes.remove_expired(now);
+        self.live_homes.remove_expired(now);
+        if self.next_due.is_some_and(|due| due <= now) {
             let due = |entry: &entry::EntryAccount| entry.next_wake().is_some_and(|due| due <= now);
             for account in self.entries.keys_where(due) {
                 self.wake_entry(now, account, &mut out);
             }
             let due = self.entries.iter().map(|(_, entry)| entry.next_wake());
-            self.due_at = due.flatten().min();
+            self.next_due = due.flatten().min();
         }
-        if now >= self.trim_at {
+        if now >= self.next_cleanup {
             self.remove_expired(now);
         }
         out
     }
 
-    /// When [`Self::on_wake`] has something to do; none where no account has a quota.
+    /// Time at which [`Self::on_wake`] must be called; `None` if no account has a quota.
     pub fn next_wake(&self) -> Option<time::NodeTime> {
         if self.is_idle() {
             return None;
         }
         let handover = self.handovers.iter().map(|pending| pending.due).min();
-        let due = self.due_at.into_iter().chain(handover);
-        let due = due.chain(self.introduction.due);
-        due.chain([self.trim_at]).min()
+        let due = self.next_due.into_iter().chain(handover);
+        let due = due.chain(self.announcement.due);
+        due.chain([self.next_cleanup]).min()
     }
 
-    /// Sends what has changed since the last call; to be called once after each event.
+    /// Sends the changes since the last call; must be called once after each event.
     pub fn flush(&mut self, now: time::NodeTime) -> Vec<effect::QuotaEffect> {
         let changes = self.changes.drain(..);
         let mut out: Vec<_> = changes.map(effect::QuotaEffect::Log).collect();
         if !self.is_idle() {
             self.send_handovers(now, &mut out);
-            self.introduce(now, &mut out);
+            self.announce_to_successor(now, &mut out);
         }
         if self.unsent.is_empty() {
             return out;
         }
         let mut reports: Vec<(SocketAddr, quota::UseReport)> = Vec::new();
         for account in std::mem::take(&mut self.unsent) {
-            let HomePlace::Peer(_, address) = self.resolve_home(now, account) else {
+            let HomeLocation::Peer(_, address) = self.resolve_home(now, account) else {
                 self.decide_waiting(now, account, &mut out);
                 continue;
             };
@@ -343,9 +346,9 @@
             };
             let report = entry.report(now, account);
             reports.extend(report.map(|report| (address, report)));
-            self.due_at = self.due_at.into_iter().chain(entry.next_wake()).min();
+            self.next_due = self.next_due.into_iter().chain(entry.next_wake()).min();
         }
-        // Following another home has put some of them on the list once more.
+        // Resolving another home has added some accounts again.
         self.unsent.clear();
         reports.sort_by_key(|(address, _)| *address);
         for same in reports.chunk_by(|a, b| a.0 == b.0) {
@@ -358,7 +361,7 @@
         out
     }
 
-    /// What the node knows of an account, for the dump and the log.
+    /// State of an account at this node, for the dump and the log.
     pub fn view(&self, account: account::AccountId) -> AccountView {
         let entry = self.entries.get(account);
         AccountView {
@@ -385,15 +388,15 @@
     }
 }
 
-/// What a node knows of an account's quota.
+/// State of an account's quota at one node.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct AccountView {
-    /// The node that counts it, as this node believes; none where no home answers.
+    /// The home of the account, as this node sees it; `None` if no home answers.
     pub home: Option<ident::NodeId>,
-    /// Tokens left, where this node is the home.
+    /// Tokens left, if this node is the home.
     pub tokens: Option<f64>,
-    /// Requests that may be let in ahead of the home's count.
+    /// Number of requests that may be admitted ahead of the home's count.
     pub ahead: u16,
-    /// Requests that wait for the home's word.
+    /// Number of requests that wait for the home's verdict.
     pub waiting: usize,
 }
--- a/crates/anvil_quota/src/ledger/entry_role.rs
+++ b/crates/anvil_quota/src/ledger/entry_role.rs
@@ -1,4 +1,4 @@
-//! The ledger as an entry node: which home an account has, and what its word lets in.
+//! The ledger as an entry node: it resolves the home of an account and applies its verdicts.
 
 use std::time::Duration;
 
@@ -20,7 +20,7 @@
         };
         if let Some(hint) = verdict.instead {
             if entry.matches_session(from, verdict) {
-                self.follow_hint(now, verdict.account, hint);
+                self.use_hinted_home(now, verdict.account, hint);
             }
             return;
         }
@@ -55,17 +55,18 @@
         let home = self.entries.get(account).and_then(|entry| entry.home);
         if let Some(home) = home {
             self.counters.homes_silent += 1;
-            self.silent.insert(now, home, ledger::SILENT_SPAN);
+            self.silent_nodes.insert(now, home, ledger::SILENT_TTL);
         }
         match self.resolve_home(now, account) {
-            ledger::HomePlace::Peer(..) => {}
-            ledger::HomePlace::Own | ledger::HomePlace::Nobody => {
+            ledger::HomeLocation::Peer(..) => {}
+            ledger::HomeLocation::Local | ledger::HomeLocation::Unreachable => {
                 self.decide_waiting(now, account, out);
             }
         }
     }
 
-    /// Decides here what waited for the word of a node that is the home no more.
+    /// Decides locally the requests that waited for the verdict of a node that is no longer the
+    /// home.
     pub(super) fn decide_waiting(
         &mut self,
         now: time::NodeTime,
@@ -98,42 +99,43 @@
         taken
     }
 
-    /// The home of an account, with whose session the entry goes on.
+    /// Resolves the home of an account, and begins a new session if it has changed.
     pub(super) fn resolve_home(
         &mut self,
         now: time::NodeTime,
         account: account::AccountId,
-    ) -> ledger::HomePlace {
-        let silent = &self.silent;
-        let tried = self.ring.homes(account).take(ledger::HOMES_TRIED);
+    ) -> ledger::HomeLocation {
+        let silent_nodes = &self.silent_nodes;
+        let tried = self.ring.homes(account).take(ledger::MAX_HOMES);
         let found = tried
             .enumerate()
-            .find(|(_, known)| !silent.contains(now, known.node));
-        let stands_in = found.is_some_and(|(place, _)| place > 0);
+            .find(|(_, known)| !silent_nodes.contains(now, known.node));
+        let stands_in = found.is_some_and(|(index, _)| index > 0);
         let found = found.map(|(_, known)| *known);
-        let place = match found {
-            Some(found) if found.node == self.node => ledger::HomePlace::Own,
-            Some(found) => ledger::HomePlace::Peer(found.node, found.address),
-            None => ledger::HomePlace::Nobody,
+        let location = match found {
+            Some(found) if found.node == self.node => ledger::HomeLocation::Local,
+            Some(found) => ledger::HomeLocation::Peer(found.node, found.address),
+            None => ledger::HomeLocation::Unreachable,
         };
-        let home = match place {
-            ledger::HomePlace::Own => Some(self.node),
-            ledger::HomePlace::Peer(node, _) => Some(node),
-            ledger::HomePlace::Nobody => None,
+        let home = match location {
+            ledger::HomeLocation::Local => Some(self.node),
+            ledger::HomeLocation::Peer(node, _) => Some(node),
+            ledger::HomeLocation::Unreachable => None,
         };
         let entry = self.entry(now, account);
         entry.note_stand_in(stands_in);
         if entry.home != home {
             self.begin_session(now, account, home);
         }
-        place
+        location
     }
 
-    /// Goes on with a home that another node named.
+    /// Switches to a home that another node named.
     ///
-    /// Failure: all processes were killed, and each new one finds the others bit by bit. Symptom: an
-    /// account has a home for each partial view, and every one of them lets in the whole quota.
-    fn follow_hint(
+    /// After all processes were killed, the new ones discover each other gradually. Without hints,
+    /// an account would have a home in each partial view, and each home would admit the whole
+    /// quota.
+    fn use_hinted_home(
         &mut self,
         now: time::NodeTime,
         account: account::AccountId,
@@ -143,23 +145,24 @@
         if self.on_hint(now, hint) {
             return;
         }
-        // Known already, and passed over for a reason.
+        // The node is already known, and passed over for a reason.
         if !(hint.alive && self.retry_home(now, hint.node)) {
             self.entry(now, account).query_again();
         }
     }
 
-    /// Asks a home again that did not answer, since another node has heard from it; tells whether it does.
+    /// Retries a silent home that another node has received a message from; returns whether it
+    /// does.
     ///
-    /// Failure: a home was silent for a moment. Symptom: for seconds some entry nodes ask the next one while
-    /// others ask the home, and both let in the whole rate. A home that only some can reach is asked again
-    /// once in that time.
+    /// If a home is silent for a moment, some entry nodes would use the next node for seconds while
+    /// others use the home, and both would admit the whole rate. A home that only some nodes can
+    /// reach is retried once within that time.
     fn retry_home(&mut self, now: time::NodeTime, home: ident::NodeId) -> bool {
-        if self.retried.contains(now, home) {
+        if self.retried_nodes.contains(now, home) {
             return false;
         }
-        self.retried.insert(now, home, ledger::SILENT_SPAN);
-        self.silent.remove(home);
+        self.retried_nodes.insert(now, home, ledger::SILENT_TTL);
+        self.silent_nodes.remove(home);
         true
     }
 
--- a/crates/anvil_quota/src/ledger/handover_role.rs
+++ b/crates/anvil_quota/src/ledger/handover_role.rs
@@ -1,4 +1,5 @@
-//! The ledger as one of several homes of an account: what it let in is told to the one that counts.
+//! The ledger as one of several homes of an account: it hands the requests it admitted over to the
+//! current home.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,15 +9,15 @@
 
 use crate::{effect, handover, ledger};
 
-/// Pause before a handover goes on to the next node: two nodes that each take the other for the home would
-/// send it to and fro as fast as the network is.
-const FORWARD_PAUSE: Duration = Duration::from_millis(50);
+/// Delay before a handover is forwarded to the next node. Two nodes that each take the other for
+/// the home would otherwise send it back and forth at network speed.
+const FORWARD_DELAY: Duration = Duration::from_millis(50);
 
-/// How long a confirmed handover shows that a home lives.
-const HEARD_SPAN: Duration = Duration::from_secs(1);
+/// Time for which a confirmed handover shows that a home is alive.
+const LIVE_HOME_TTL: Duration = Duration::from_secs(1);
 
 impl ledger::QuotaLedger {
-    /// Hands over what this node let in for an account, from `due` on.
+    /// Hands over the requests that this node admitted for an account, from `due` on.
     pub(super) fn hand_over(
         &mut self,
         now: time::NodeTime,
@@ -27,8 +28,8 @@
         let Some(uses) = home.and_then(|home| home.take_uses(now)) else {
             return;
         };
-        self.handed += 1;
-        let pending = handover::PendingHandover::new(account, self.handed, uses, due);
+        self.handover_count += 1;
+        let pending = handover::PendingHandover::new(account, self.handover_count, uses, due);
         self.handovers.push(pending);
     }
 
@@ -46,7 +47,7 @@
         self.handovers = pending;
     }
 
-    /// Sends one handover; tells whether it is still to be answered.
+    /// Sends one handover; returns whether it still needs a confirmation.
     fn send_handover(
         &mut self,
         now: time::NodeTime,
@@ -56,8 +57,8 @@
         if handover.is_exhausted() {
             return false;
         }
-        let Some(to) = self.other_home(handover.account) else {
-            // This node counts the account again.
+        let Some(to) = self.peer_home(handover.account) else {
+            // This node is the home of the account again.
             if let Some(home) = self.homes.get_mut(handover.account) {
                 home.restore_uses(now, handover.uses.slices(now));
             }
@@ -68,20 +69,20 @@
         true
     }
 
-    /// Counts what another node let in, and answers it.
+    /// Counts the requests that another node admitted, and confirms the handover.
     pub(super) fn on_handover(
         &mut self,
         now: time::NodeTime,
         from: (ident::NodeId, SocketAddr),
-        told: &quota::UseHandover,
+        handover: &quota::UseHandover,
         out: &mut Vec<effect::QuotaEffect>,
     ) {
-        let account = told.account;
+        let account = handover.account;
         let Some(size) = self.size(account) else {
             return;
         };
-        let home = self.own_home(now, account, size);
-        if let Some(uses) = home.take_handover(now, size, from.0, told) {
+        let home = self.prepare_home(now, account, size);
+        if let Some(uses) = home.take_handover(now, size, from.0, handover) {
             let from = from.0;
             let change = effect::HomeChange::Taken {
                 account,
@@ -90,17 +91,17 @@
             };
             self.changes.push(change);
             self.revoke_ahead(account, out);
-            if self.other_home(account).is_some() {
-                self.hand_over(now, account, now + FORWARD_PAUSE);
+            if self.peer_home(account).is_some() {
+                self.hand_over(now, account, now + FORWARD_DELAY);
             }
         }
-        let number = told.number;
+        let number = handover.number;
         self.send(from.1, quota::QuotaMessage::Taken { number }, out);
     }
 
-    /// Forgets a handover that was taken, and notes that its home lives.
+    /// Removes a confirmed handover, and records that its home is alive.
     pub(super) fn handover_taken(&mut self, now: time::NodeTime, from: ident::NodeId, number: u32) {
         self.handovers.retain(|pending| pending.number != number);
-        self.heard.insert(now, from, HEARD_SPAN);
+        self.live_homes.insert(now, from, LIVE_HOME_TTL);
     }
 }
--- a/crates/anvil_quota/src/ledger/home_role.rs
+++ b/crates/anvil_quota/src/ledger/home_role.rs
@@ -1,4 +1,4 @@
-//! The ledger as the home of accounts: it counts what entry nodes let in.
+//! The ledger as the home of accounts: it counts the requests that entry nodes admit.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,18 +17,18 @@
         out: &mut Vec<effect::QuotaEffect>,
     ) {
         let mut verdicts = Vec::with_capacity(uses.len());
-        for told in uses {
-            // An account that this node hasn't heard of: its rules are older, so it says nothing.
-            let Some(size) = self.size(told.account) else {
+        for report in uses {
+            // This node does not know the account: its rules are older, so it does not answer.
+            let Some(size) = self.size(report.account) else {
                 continue;
             };
-            if let Some(verdict) = self.hint_home(now, *told) {
+            if let Some(verdict) = self.redirect_to_home(now, *report) {
                 verdicts.push(verdict);
                 continue;
             }
-            let home = self.own_home(now, told.account, size);
-            verdicts.extend(home.report(now, size, from, *told));
-            self.revoke_ahead(told.account, out);
+            let home = self.prepare_home(now, report.account, size);
+            verdicts.extend(home.report(now, size, from, *report));
+            self.revoke_ahead(report.account, out);
         }
         if !verdicts.is_empty() {
             let message = quota::QuotaMessage::Verdict { verdicts };
@@ -36,17 +36,22 @@
         }
     }
 
-    /// Names the home of an account that this node doesn't count and need not stand in for.
-    fn hint_home(&self, now: time::NodeTime, told: quota::UseReport) -> Option<quota::UseVerdict> {
-        let home = self.other_home(told.account)?;
-        let alive = self.heard.contains(now, home.node);
-        if told.stands_in && !alive {
+    /// A verdict that names the home of an account, if this node is not the home and need not stand
+    /// in for it.
+    fn redirect_to_home(
+        &self,
+        now: time::NodeTime,
+        report: quota::UseReport,
+    ) -> Option<quota::UseVerdict> {
+        let home = self.peer_home(report.account)?;
+        let alive = self.live_homes.contains(now, home.node);
+        if report.stands_in && !alive {
             return None;
         }
         Some(quota::UseVerdict {
-            account: told.account,
-            session: told.session,
-            term: told.term,
+            account: report.account,
+            session: report.session,
+            term: report.term,
             spent: 0,
             asked: 0,
             granted: 0,
@@ -68,14 +73,14 @@
         let Some(size) = self.size(account) else {
             return Ok(());
         };
-        let taken = self.own_home(now, account, size).take(size);
-        if taken.is_ok() {
+        let result = self.prepare_home(now, account, size).take(size);
+        if result.is_ok() {
             self.entry(now, account).count(now);
         }
-        taken
+        result
     }
 
-    /// Tells nodes that let requests in ahead when an account has come near its quota.
+    /// Notifies nodes that admit requests ahead of the count if an account has come near its quota.
     pub(super) fn revoke_ahead(
         &mut self,
         account: account::AccountId,
@@ -93,11 +98,11 @@
         }
     }
 
-    /// Notes which accounts are counted at another node by now, and hands them over.
-    pub(super) fn note_moves(&mut self, now: time::NodeTime) {
+    /// Finds the accounts that have moved to another home, and hands them over.
+    pub(super) fn hand_over_moved(&mut self, now: time::NodeTime) {
         let accounts: Vec<_> = self.homes.iter().map(|(account, _)| *account).collect();
         for account in accounts {
-            let Some(to) = self.other_home(account) else {
+            let Some(to) = self.peer_home(account) else {
                 continue;
             };
             let left = self.homes.get_mut(account);
@@ -110,30 +115,32 @@
         }
     }
 
-    /// The home of an account, where it is another node.
-    pub(super) fn other_home(&self, account: account::AccountId) -> Option<ring::RingNode> {
+    /// The home of an account, if it is another node.
+    pub(super) fn peer_home(&self, account: account::AccountId) -> Option<ring::RingNode> {
         let home = self.ring.homes(account).next().copied();
         home.filter(|home| home.node != self.node)
     }
 
-    /// Whether this node is the home of an account by its own view of the members.
+    /// Whether this node is the home of an account, according to its own view of the members.
     pub(super) fn is_home(&self, account: account::AccountId) -> bool {
-        self.other_home(account).is_none()
+        self.peer_home(account).is_none()
     }
 
-    /// Whether the others may be asking another home, so that this one must not use the whole quota.
+    /// Whether other nodes may be using another home, so that this one must not use the whole
+    /// quota.
     ///
-    /// Failure: a node is cut off and finds out member by member. Symptom: it takes over one account
-    /// after another with the share of those that it still believes in, none of which can ask it.
+    /// A partitioned node detects the partition member by member. It would take over one account
+    /// after another with the share of the members it still considers alive, none of which can
+    /// reach it.
     pub(super) fn is_partitioned(&self, now: time::NodeTime, account: account::AccountId) -> bool {
         let home = self.homes.get(account);
-        match self.silent.is_empty() && !self.ring.has_shrunk(now) {
+        match self.silent_nodes.is_empty() && !self.ring.has_shrunk(now) {
             true => home.is_some_and(|home| home.is_partitioned(now)),
             false => !home.is_some_and(|home| home.receives_reports(now)),
         }
     }
 
-    pub(super) fn own_home(
+    pub(super) fn prepare_home(
         &mut self,
         now: time::NodeTime,
         account: account::AccountId,
@@ -158,7 +165,7 @@
     }
 
     pub(super) fn remove_expired(&mut self, now: time::NodeTime) {
-        self.trim_at = now + ledger::TRIM_INTERVAL;
+        self.next_cleanup = now + ledger::CLEANUP_INTERVAL;
         self.ring.remove_expired(now);
         let homes: Vec<_> = self.homes.iter().map(|(account, _)| *account).collect();
         for account in homes {
--- a/crates/anvil_quota/src/ledger/ring_role.rs
+++ b/crates/anvil_quota/src/ledger/ring_role.rs
@@ -1,8 +1,9 @@
-//! The ledger as a node on the ring: it makes itself known to the next one.
+//! The ledger as a node on the ring: it announces itself to its successor.
 //!
-//! Failure: all processes were killed, and two parts of the fleet don't know each other's members for
-//! seconds. Symptom: an account has a home in each part. Whoever counts an account by mistake stands behind
-//! its home on the ring; so each node tells the next one of itself, and hears where one stands between.
+//! After all processes were killed, two parts of the fleet may not know each other's members for
+//! seconds, and an account has a home in each part. A node that wrongly counts an account comes
+//! after the real home on the ring. Each node therefore announces itself to its successor, which
+//! answers with any node that it knows to be between the two.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,66 +13,74 @@
 
 use crate::{effect, ledger};
 
-/// Time between two words to the next node.
-const INTERVAL: Duration = Duration::from_millis(200);
+/// Interval between announcements to the successor.
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Words to a node that has become the next one; datagrams are lost now and then.
-const WORDS: u8 = 3;
+/// Number of announcements to a new successor, because datagrams may be lost.
+const ANNOUNCEMENTS: u8 = 3;
 
-/// Nodes named in answer to a word that are told too.
+/// Maximum number of nodes named in answers to one announcement that are notified as well.
 ///
-/// Where a process has ended and another one stands at its address, each answer may name the same address
-/// again; without a bound the two would go on as fast as the network is.
-const NAMED: u8 = 2;
+/// If a process has ended and another one uses its address, each answer may name the same address
+/// again. Without a bound, the two would exchange messages at network speed.
+const MAX_FOLLOWED_HINTS: u8 = 2;
 
-/// How long a fresh node goes on to tell of itself, since it finds the others bit by bit.
-const YOUTH: Duration = Duration::from_secs(5);
+/// Time for which a starting node repeats its announcement, because it discovers the others
+/// gradually.
+const STARTUP_PERIOD: Duration = Duration::from_secs(5);
 
-/// What a node has told the next one.
+/// State of the announcements to the successor.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct RingIntroduction {
+pub(super) struct RingAnnouncement {
     successor: Option<ident::NodeId>,
-    /// When the next word is due.
+    /// Time of the next announcement.
     pub(super) due: Option<time::NodeTime>,
-    words_left: u8,
-    /// Nodes named in answer to the last word that were told too.
-    named_told: u8,
-    /// When the node is no longer fresh; none before it knows another one.
-    fresh_until: Option<time::NodeTime>,
+    announcements_left: u8,
+    /// Number of nodes named in answers to the last announcement that were notified.
+    followed_hints: u8,
+    /// End of the startup period; `None` before the node knows another one.
+    startup_until: Option<time::NodeTime>,
 }
 
 impl ledger::QuotaLedger {
-    /// Follows a change of the ring: accounts are handed over, and a new next node is told.
+    /// Handles a change of the ring: hands accounts over, and schedules announcements to a new
+    /// successor.
     pub(super) fn ring_changed(&mut self, now: time::NodeTime) {
-        self.note_moves(now);
+        self.hand_over_moved(now);
         let successor = self.ring.successor(self.node).map(|next| next.node);
-        let told = &mut self.introduction;
-        if successor == told.successor {
+        let announcement = &mut self.announcement;
+        if successor == announcement.successor {
             return;
         }
-        told.successor = successor;
-        told.words_left = WORDS;
-        told.fresh_until.get_or_insert(now + YOUTH);
-        told.due = Some(now);
+        announcement.successor = successor;
+        announcement.announcements_left = ANNOUNCEMENTS;
+        announcement
+            .startup_until
+            .get_or_insert(now + STARTUP_PERIOD);
+        announcement.due = Some(now);
     }
 
-    /// Tells the next node on the ring of this one, where that is due.
-    pub(super) fn introduce(&mut self, now: time::NodeTime, out: &mut Vec<effect::QuotaEffect>) {
-        if self.introduction.due.is_none_or(|due| now < due) {
+    /// Announces this node to its successor, if that is due.
+    pub(super) fn announce_to_successor(
+        &mut self,
+        now: time::NodeTime,
+        out: &mut Vec<effect::QuotaEffect>,
+    ) {
+        if self.announcement.due.is_none_or(|due| now < due) {
             return;
         }
-        let told = &mut self.introduction;
-        told.words_left = told.words_left.saturating_sub(1);
-        let fresh = told.fresh_until.is_some_and(|until| now < until);
-        let goes_on = fresh || told.words_left > 0;
-        told.due = goes_on.then_some(now + INTERVAL);
-        told.named_told = 0;
+        let announcement = &mut self.announcement;
+        announcement.announcements_left = announcement.announcements_left.saturating_sub(1);
+        let starting = announcement.startup_until.is_some_and(|until| now < until);
+        let continues = starting || announcement.announcements_left > 0;
+        announcement.due = continues.then_some(now + ANNOUNCE_INTERVAL);
+        announcement.followed_hints = 0;
         if let Some(next) = self.ring.successor(self.node) {
             self.send(next.address, quota::QuotaMessage::Behind, out);
         }
     }
 
-    /// Takes note of the node in front, and names one that stands between.
+    /// Adds the predecessor that announced itself, and names a node that is between the two.
     pub(super) fn on_behind(
         &mut self,
         now: time::NodeTime,
@@ -99,18 +108,19 @@
         }
     }
 
-    /// Makes itself known to a node that stands between this one and the next that it knows.
+    /// Announces this node to a node that is between it and its known successor.
     ///
-    /// The node named may have ended, so it is not taken for a home before it has said something itself.
+    /// The named node may have ended, so it is not used as a home before it has sent a message
+    /// itself.
     pub(super) fn on_between(&mut self, hint: quota::HomeHint, out: &mut Vec<effect::QuotaEffect>) {
-        let told = &mut self.introduction;
-        if hint.node != self.node && told.named_told < NAMED {
-            told.named_told += 1;
+        let announcement = &mut self.announcement;
+        if hint.node != self.node && announcement.followed_hints < MAX_FOLLOWED_HINTS {
+            announcement.followed_hints += 1;
             self.send(hint.address, quota::QuotaMessage::Behind, out);
         }
     }
 
-    /// Takes in a node that another one named; false where it is known.
+    /// Adds a node that another one named; returns false if it is already known.
     pub(super) fn on_hint(&mut self, now: time::NodeTime, hint: quota::HomeHint) -> bool {
         let added = self.ring.insert_hinted(now, hint.node, hint.address);
         if added {
--- a/crates/anvil_quota/src/meter.rs
+++ b/crates/anvil_quota/src/meter.rs
@@ -1,13 +1,13 @@
-//! How often something happened lately.
+//! Rate of recent events.
 
 use std::time::Duration;
 
 use anvil_types::time;
 
-/// Span over which events are averaged.
+/// Time constant of the average.
 const SPAN_SECONDS: f64 = 5.0;
 
-/// A rate that forgets what is long past.
+/// An event rate that decays exponentially.
 #[derive(Clone, Copy, Debug)]
 pub struct EventMeter {
     rate: f64,
@@ -15,7 +15,7 @@
 }
 
 impl EventMeter {
-    /// A meter that has seen nothing.
+    /// A meter without events.
     pub fn new(now: time::NodeTime) -> Self {
         Self { rate: 0.0, at: now }
     }
@@ -37,7 +37,7 @@
         now.since(self.at)
     }
 
-    /// Events that the time since the last one should have brought.
+    /// Number of events that were expected since the last one.
     pub fn missed_events(&self, now: time::NodeTime) -> f64 {
         self.rate * self.idle_time(now).as_secs_f64()
     }
--- a/crates/anvil_quota/src/recent.rs
+++ b/crates/anvil_quota/src/recent.rs
@@ -1,4 +1,4 @@
-//! What a home let in lately, by age.
+//! Requests that a home recently admitted, by age.
 
 use std::time::Duration;
 
@@ -8,36 +8,37 @@
 /// Length of one slice.
 pub const SLICE: Duration = Duration::from_millis(250);
 
-/// Slices kept: five seconds, as long as the windows over which quotas are judged.
+/// Number of slices; they cover five seconds, as long as the windows over which quotas are
+/// evaluated.
 pub const SLICES: usize = quota::SLICES_LIMIT;
 
-/// Requests let in, less those given back, by the slice of time in which they were.
+/// Admitted requests, minus those given back, by time slice.
 #[derive(Clone, Copy, Debug)]
 pub struct RecentUses {
-    /// The newest first.
+    /// The newest slice first.
     slices: [i32; SLICES],
-    /// When the newest slice began.
-    begun: time::NodeTime,
+    /// Start of the newest slice.
+    started_at: time::NodeTime,
 }
 
 impl RecentUses {
-    /// Nothing was let in yet.
+    /// Creates a record without requests.
     pub const fn new(now: time::NodeTime) -> Self {
         Self {
             slices: [0; SLICES],
-            begun: now,
+            started_at: now,
         }
     }
 
-    /// Counts requests; a negative number was given back.
+    /// Counts admitted requests; a negative number was given back.
     pub fn count(&mut self, now: time::NodeTime, uses: i32) {
-        self.turn(now);
+        self.advance(now);
         self.slices[0] = self.slices[0].saturating_add(uses);
     }
 
-    /// Takes in what another home let in, its slices the newest first.
+    /// Adds the slices of another home, the newest first.
     pub fn merge(&mut self, now: time::NodeTime, other: &[i32]) {
-        self.turn(now);
+        self.advance(now);
         for (own, other) in self.slices.iter_mut().zip(other) {
             *own = own.saturating_add(*other);
         }
@@ -45,33 +46,34 @@
 
     /// The slices, the newest first.
     pub fn slices(&mut self, now: time::NodeTime) -> [i32; SLICES] {
-        self.turn(now);
+        self.advance(now);
         self.slices
     }
 
-    /// Whether nothing was let in.
+    /// Whether no requests are recorded.
     pub fn is_empty(&self) -> bool {
         self.slices.iter().all(|uses| *uses == 0)
     }
 
-    /// Begins as many new slices as time has brought.
-    fn turn(&mut self, now: time::NodeTime) {
-        let passed = now.since(self.begun).as_micros() / SLICE.as_micros();
+    /// Begins the slices that are due at `now`.
+    fn advance(&mut self, now: time::NodeTime) {
+        let passed = now.since(self.started_at).as_micros() / SLICE.as_micros();
         if passed == 0 {
             return;
         }
-        let turns = usize::try_from(passed).unwrap_or(SLICES);
-        if turns >= SLICES {
+        let steps = usize::try_from(passed).unwrap_or(SLICES);
+        if steps >= SLICES {
             *self = Self::new(now);
             return;
         }
-        self.slices.rotate_right(turns);
-        self.slices[..turns].fill(0);
-        self.begun = self.begun + SLICE * turns as u32;
+        self.slices.rotate_right(steps);
+        self.slices[..steps].fill(0);
+        self.started_at = self.started_at + SLICE * steps as u32;
     }
 }
 
-/// Uses in `slices`, the newest first, that are at most `age` old; of the oldest slice a part.
+/// Number of requests in `slices`, the newest first, that are at most `age` old; the oldest slice
+/// counts in part.
 pub fn uses_within(slices: &[i32], age: Duration) -> f64 {
     let whole = age.as_secs_f64() / SLICE.as_secs_f64();
     let parts = slices.iter().enumerate();
--- a/crates/anvil_quota/src/ring.rs
+++ b/crates/anvil_quota/src/ring.rs
@@ -1,8 +1,8 @@
-//! Which node is the home of an account.
+//! Consistent hashing: which node is the home of an account.
 //!
-//! Nodes and accounts are points on one ring of numbers; an account's home is the node behind it. A
-//! node that joins or ends moves only the accounts between it and the node in front, and no agreement
-//! is needed: nodes that know the same members name the same home.
+//! Nodes and accounts are points on one ring of numbers; the home of an account is the next node on
+//! the ring. A node that joins or ends moves only the accounts between it and the node before it,
+//! and no agreement is needed: nodes that know the same members compute the same home.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,34 +10,36 @@
 use anvil_types::{account, ident, time};
 use xxhash_rust::xxh3;
 
-/// How long a crashed member counts for the share of the quota that the other side of a cut may use.
-const LOST_KEPT: Duration = Duration::from_secs(60);
+/// Time for which a crashed member counts towards the share of the quota that the other side of a
+/// network partition may use.
+const LOST_TTL: Duration = Duration::from_secs(60);
 
-/// How long a node that another one named is kept without a word of membership.
-const HINT_KEPT: Duration = Duration::from_secs(10);
+/// Time for which a node that another node named is retained without confirmation by membership.
+const HINT_TTL: Duration = Duration::from_secs(10);
 
-/// How long after a loss further ones are expected: a cut shows member by member.
-const SHRINKING: Duration = Duration::from_secs(5);
+/// Time after a loss in which further losses are expected, because a partition is detected member
+/// by member.
+const SHRINK_PERIOD: Duration = Duration::from_secs(5);
 
 /// A node on the ring.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RingNode {
     point: u64,
-    /// Its identity.
+    /// Its id.
     pub node: ident::NodeId,
-    /// Where it accepts datagrams.
+    /// Address at which it accepts datagrams.
     pub address: SocketAddr,
-    /// When another node named it, as long as membership has not.
-    hinted: Option<time::NodeTime>,
+    /// Time at which another node named it, until membership confirms it.
+    hinted_at: Option<time::NodeTime>,
 }
 
 impl RingNode {
-    fn new(node: ident::NodeId, address: SocketAddr, hinted: Option<time::NodeTime>) -> Self {
+    fn new(node: ident::NodeId, address: SocketAddr, hinted_at: Option<time::NodeTime>) -> Self {
         Self {
             point: point_of(node),
             node,
             address,
-            hinted,
+            hinted_at,
         }
     }
 
@@ -50,14 +52,14 @@
     xxh3::xxh3_64(&node.0.to_le_bytes())
 }
 
-/// A member that ended without a word, and may live on where this node can't see it.
+/// A member that crashed, and that may still be alive on the other side of a partition.
 #[derive(Clone, Copy, Debug)]
 struct LostNode {
     address: SocketAddr,
     since: time::NodeTime,
 }
 
-/// The members that may be homes.
+/// The members that can be homes.
 #[derive(Clone, Debug, Default)]
 pub struct QuotaRing {
     /// Sorted by point.
@@ -67,7 +69,7 @@
 }
 
 impl QuotaRing {
-    /// Takes in a member, new or at another address.
+    /// Adds a member, or updates its address.
     pub fn insert(&mut self, node: ident::NodeId, address: SocketAddr) {
         let added = RingNode::new(node, address, None);
         match self.place(added.key()) {
@@ -77,7 +79,7 @@
         self.lost.retain(|lost| lost.address != address);
     }
 
-    /// Takes in a node that another one named; false where it is known.
+    /// Adds a node that another node named; returns false if it is already known.
     pub fn insert_hinted(
         &mut self,
         now: time::NodeTime,
@@ -94,70 +96,75 @@
         }
     }
 
-    /// Drops a member that left by its own word.
+    /// Removes a member that left the fleet.
     pub fn remove(&mut self, node: ident::NodeId) -> Option<RingNode> {
         let place = self.place((point_of(node), node)).ok()?;
         Some(self.nodes.remove(place))
     }
 
-    /// Drops a member that ended without a word.
+    /// Removes a member that crashed.
     pub fn remove_crashed(&mut self, now: time::NodeTime, node: ident::NodeId) {
-        let Some(gone) = self.remove(node) else {
+        let Some(removed) = self.remove(node) else {
             return;
         };
-        // Its successor at the same address may be known before its end is.
-        if self.nodes.iter().any(|known| known.address == gone.address) {
+        // Its replacement at the same address may be known before the crash is.
+        if self
+            .nodes
+            .iter()
+            .any(|known| known.address == removed.address)
+        {
             return;
         }
         let lost = LostNode {
-            address: gone.address,
+            address: removed.address,
             since: now,
         };
-        match self.lost_place(gone.address) {
+        match self.lost_place(removed.address) {
             Ok(place) => self.lost[place] = lost,
             Err(place) => self.lost.insert(place, lost),
         }
     }
 
-    /// Forgets members that were lost long ago, unless most are: then this node is on the small side
-    /// of a cut, and what it forgot would let both sides use the whole quota.
+    /// Removes members that were lost long ago, unless they are the majority: this node is then on
+    /// the small side of a partition, and without them both sides would use the whole quota.
     ///
-    /// A node that was named and that membership doesn't know of later has ended, most likely.
+    /// Also removes nodes that were named but not confirmed by membership in time; most likely they
+    /// have ended.
     pub fn remove_expired(&mut self, now: time::NodeTime) {
-        let stale = |known: &RingNode| known.hinted.is_some_and(|at| now.since(at) >= HINT_KEPT);
+        let stale = |known: &RingNode| known.hinted_at.is_some_and(|at| now.since(at) >= HINT_TTL);
         self.nodes.retain(|known| !stale(known));
         if self.lost.len() < self.nodes.len() {
-            self.lost.retain(|lost| now.since(lost.since) < LOST_KEPT);
+            self.lost.retain(|lost| now.since(lost.since) < LOST_TTL);
         }
     }
 
-    /// The nodes behind an account's point, the home first.
+    /// The nodes that follow the point of an account, its home first.
     pub fn homes(&self, account: account::AccountId) -> impl Iterator<Item = &RingNode> {
         let start = self.nodes.partition_point(|known| known.point < account.0);
         let (head, tail) = self.nodes.split_at(start);
         tail.iter().chain(head)
     }
 
-    /// The next node on the ring; none where `node` stands on it alone, or not at all.
+    /// The next node on the ring; `None` if `node` is the only one, or is not on the ring.
     pub fn successor(&self, node: ident::NodeId) -> Option<RingNode> {
         let place = self.place((point_of(node), node)).ok()?;
         let next = self.nodes[(place + 1) % self.nodes.len()];
         (next.node != node).then_some(next)
     }
 
-    /// The share of the fleet that this node sees.
+    /// The share of the fleet that this node can see.
     pub fn visible_share(&self) -> f64 {
         let seen = self.nodes.len().max(1) as f64;
         seen / (seen + self.lost.len() as f64)
     }
 
-    /// Whether members were lost a moment ago, so that more may be.
+    /// Whether members were lost recently, so that more losses are likely.
     pub fn has_shrunk(&self, now: time::NodeTime) -> bool {
-        let fresh = |lost: &LostNode| now.since(lost.since) < SHRINKING;
+        let fresh = |lost: &LostNode| now.since(lost.since) < SHRINK_PERIOD;
         self.lost.iter().any(fresh)
     }
 
-    /// One node's part of the fleet.
+    /// The share of one node in the fleet.
     pub fn node_share(&self) -> f64 {
         1.0 / (self.nodes.len() + self.lost.len()).max(1) as f64
     }
