--- a/crates/anvil_quota/src/handover.rs
+++ b/crates/anvil_quota/src/handover.rs
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Whether it was sent [`MAX_SENDS`] times.
+    /// Whether it was sent `MAX_SENDS` times.
     pub const fn is_exhausted(&self) -> bool {
         self.sends >= MAX_SENDS
     }
