--- a/crates/anvil_membership/src/fleet.rs
+++ b/crates/anvil_membership/src/fleet.rs
@@ -16,9 +16,9 @@
 };
 
 mod claims;
+mod comparison;
 mod contacts;
 mod counting;
-mod newcomer;
 mod probing;
 mod proposing;
 mod rules;
@@ -103,7 +103,7 @@
     recent_departures: u32,
     requests: store_requests::PendingRequests,
     contacts: contact::ContactState,
-    rules: spread::RuleSpread,
+    rules: spread::RuleDistribution,
     roster: roster::RosterCheck,
     snapshot: snapshot::SnapshotState,
     census: census::CensusState,
@@ -142,7 +142,7 @@
         let first_claim = first_list + choice.span(contact::FIRST_CLAIM_SPREAD);
         let first_snapshot = choice.below(spread::SNAPSHOT_EVERY as usize) as u64;
         let first_snapshot = ident::RuleRevision(spread::SNAPSHOT_EVERY + first_snapshot);
-        let rules = spread::RuleSpread::new(now, config.store, !config.seeds.is_empty());
+        let rules = spread::RuleDistribution::new(now, config.store, !config.seeds.is_empty());
         let mut roster = roster::RosterCheck::new(!config.store && config.seeds.is_empty());
         if !config.seeds.is_empty() {
             roster.expect_others(now);
@@ -183,7 +183,7 @@
     /// Enables the store; must be called before the first event.
     pub fn use_store(&mut self, now: time::NodeTime) {
         self.config.store = true;
-        self.rules = spread::RuleSpread::new(now, true, !self.config.seeds.is_empty());
+        self.rules = spread::RuleDistribution::new(now, true, !self.config.seeds.is_empty());
         self.roster = roster::RosterCheck::new(false);
     }
 
--- a/crates/anvil_membership/src/fleet/newcomer.rs
+++ b/crates/anvil_membership/src/fleet/comparison.rs
@@ -20,7 +20,7 @@
     /// through, are chosen last, since many nodes that start together would all choose the same
     /// ones.
     pub(super) fn comparison_partner(&mut self) -> Option<ident::NodeId> {
-        let mut except = self.roster.newcomers().to_vec();
+        let mut except = self.roster.starting_peers().to_vec();
         except.push(self.local);
         except.extend(&self.rules.ready_peers);
         if let Some(drawn) = self.table.draw_live(&mut self.choice, &except) {
@@ -55,16 +55,16 @@
         if head.ready {
             self.roster.finish();
         } else {
-            self.on_compared_with_newcomer(now, head.from);
+            self.on_compared_with_starting_peer(now, head.from);
         }
         self.update_readiness(now, out);
     }
 
     /// Continues with the next peer, or ends the check if all peers that answered are starting too.
-    fn on_compared_with_newcomer(&mut self, now: time::NodeTime, peer: ident::NodeId) {
-        self.roster.note_newcomer(peer, self.table.live());
+    fn on_compared_with_starting_peer(&mut self, now: time::NodeTime, peer: ident::NodeId) {
+        self.roster.note_starting_peer(peer, self.table.live());
         let others_ready = !self.rules.ready_peers.is_empty();
-        if !others_ready && self.roster.newcomers().len() >= roster::NEWCOMERS_COMPARED {
+        if !others_ready && self.roster.starting_peers().len() >= roster::STARTING_PEERS_COMPARED {
             self.roster.finish();
         } else {
             self.timers.sync = now;
--- a/crates/anvil_membership/src/fleet/contacts.rs
+++ b/crates/anvil_membership/src/fleet/contacts.rs
@@ -195,7 +195,7 @@
             let since = *self.contacts.vacant_since[usize::from(slot)].get_or_insert(now);
             let wait = contact::CANDIDATE_WAIT * self.candidates_before(slot);
             if now.since(since) >= wait {
-                self.grant_slot_lease(now, slot, out);
+                self.request_slot_lease(now, slot, out);
                 return;
             }
         }
@@ -225,7 +225,7 @@
     }
 
     /// Requests a lease for the entry in `slot`, the first step of claiming it.
-    fn grant_slot_lease(
+    fn request_slot_lease(
         &mut self,
         now: time::NodeTime,
         slot: u8,
@@ -331,7 +331,7 @@
             effect::FleetReport::ContactLapsed,
         ));
         if let Some(slot) = former.map(|held| held.slot).filter(|_| !self.is_leaving()) {
-            self.grant_slot_lease(now, slot, out);
+            self.request_slot_lease(now, slot, out);
         }
     }
 
--- a/crates/anvil_membership/src/roster.rs
+++ b/crates/anvil_membership/src/roster.rs
@@ -9,7 +9,7 @@
 ///
 /// Whole fleets start together too; without this rule, their nodes would become ready only after
 /// [`COMPARE_TIMEOUT`].
-pub const NEWCOMERS_COMPARED: usize = 3;
+pub const STARTING_PEERS_COMPARED: usize = 3;
 
 /// Interval at which a starting node compares its members with another peer.
 pub const COMPARE_RETRY_INTERVAL: Duration = Duration::from_millis(200);
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug)]
 pub struct RosterCheck {
     compared: bool,
-    newcomers: Vec<ident::NodeId>,
+    starting_peers: Vec<ident::NodeId>,
     /// Number of known members at the last comparison with one of these.
     known: usize,
     deadline: Option<time::NodeTime>,
@@ -43,7 +43,7 @@
     pub fn new(alone: bool) -> Self {
         Self {
             compared: alone,
-            newcomers: Vec::new(),
+            starting_peers: Vec::new(),
             known: 0,
             deadline: None,
         }
@@ -55,8 +55,8 @@
     }
 
     /// Peers that were compared with and are still starting themselves.
-    pub fn newcomers(&self) -> &[ident::NodeId] {
-        &self.newcomers
+    pub fn starting_peers(&self) -> &[ident::NodeId] {
+        &self.starting_peers
     }
 
     /// Records the first sign of other nodes, from which [`COMPARE_TIMEOUT`] is counted.
@@ -75,7 +75,7 @@
     /// Ends the check: no member is missing, or no peer answered in time.
     pub fn finish(&mut self) {
         self.compared = true;
-        self.newcomers.clear();
+        self.starting_peers.clear();
         self.deadline = None;
     }
 
@@ -85,13 +85,13 @@
     /// One such comparison must not end the check: two nodes that have just started and know only
     /// each other would both accept that as the fleet, and refuse requests for the services of all
     /// others.
-    pub fn note_newcomer(&mut self, peer: ident::NodeId, known: usize) {
+    pub fn note_starting_peer(&mut self, peer: ident::NodeId, known: usize) {
         if known > self.known {
-            self.newcomers.clear();
+            self.starting_peers.clear();
         }
         self.known = known;
-        if !self.newcomers.contains(&peer) {
-            self.newcomers.push(peer);
+        if !self.starting_peers.contains(&peer) {
+            self.starting_peers.push(peer);
         }
     }
 
--- a/crates/anvil_membership/src/spread.rs
+++ b/crates/anvil_membership/src/spread.rs
@@ -101,7 +101,7 @@
 
 /// The rules that this node holds, and the state of its reads, watches, pulls and proposals.
 #[derive(Clone, Debug)]
-pub struct RuleSpread {
+pub struct RuleDistribution {
     /// The changes held.
     pub log: rule_log::RuleLog,
     /// Whether the revision held was compared with peers or with the store.
@@ -141,7 +141,7 @@
     pub proposal: Option<proposal::OpenProposal>,
 }
 
-impl RuleSpread {
+impl RuleDistribution {
     /// Starts at `now` without rules.
     pub fn new(now: time::NodeTime, reads_store: bool, has_seeds: bool) -> Self {
         Self {
