--- a/crates/anvil_membership/examples/capacity_slopes.rs
+++ b/crates/anvil_membership/examples/capacity_slopes.rs
@@ -94,7 +94,7 @@
     for round in 0..5 {
         let lost = size - 1 - round;
         net.crash(lost);
-        let known = |net: &harness::Net| net.believers(harness::id(lost)) == 0;
+        let known = |net: &harness::Net| net.live_observers(harness::id(lost)) == 0;
         losses.push(net.run_until(Duration::from_secs(60), known));
         net.run(Duration::from_secs(20));
     }
--- a/crates/anvil_membership/src/fleet.rs
+++ b/crates/anvil_membership/src/fleet.rs
@@ -98,8 +98,11 @@
     incarnation: u32,
     left: bool,
     joined: bool,
+    /// Whether claims about other members are relayed; off while a large bulk message is applied.
     relaying: bool,
+    /// Number of frequent digest exchanges that are left.
     early_syncs: u8,
+    /// Number of departures since the last digest exchange.
     recent_departures: u32,
     requests: store_requests::PendingRequests,
     contacts: contact::ContactState,
@@ -115,6 +118,7 @@
     health: health::LocalHealth,
     choice: random::ChoiceSource,
     timers: FleetTimers,
+    /// When this process last handled an event, for the pause detection.
     last_active_at: time::NodeTime,
     last_wake_at: time::NodeTime,
     counters: counters::FleetCounters,
--- a/crates/anvil_membership/src/probe.rs
+++ b/crates/anvil_membership/src/probe.rs
@@ -52,7 +52,7 @@
         /// The probe's number.
         number: u32,
     },
-    /// The period passed without an answer.
+    /// The probe period passed without an ack.
     Failed {
         /// The member that did not answer.
         target: ident::NodeId,
@@ -68,7 +68,7 @@
         /// The requester's number of the probe.
         probe: u32,
     },
-    /// The next period begins; choose a target.
+    /// The next probe period begins; choose a target.
     NextPeriod,
 }
 
--- a/crates/anvil_membership/src/spread.rs
+++ b/crates/anvil_membership/src/spread.rs
@@ -1,4 +1,7 @@
 //! The state of rule distribution: the rules that a node holds, and how it obtains newer ones.
+//!
+//! The store holds the rules either as a log of the changes that nodes accepted, with snapshots, or
+//! as a document with the complete rules that operators write under one key.
 
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/anvil_membership/tests/failures.rs
+++ b/crates/anvil_membership/tests/failures.rs
@@ -16,8 +16,8 @@
     let mut net = Net::joined(60, 2, 1);
     net.run(Duration::from_secs(5));
     net.crash(17);
-    let gone = |net: &Net| net.believers(harness::id(17)) == 0;
-    let took = net.run_until(Duration::from_secs(30), gone);
+    let departed = |net: &Net| net.live_observers(harness::id(17)) == 0;
+    let took = net.run_until(Duration::from_secs(30), departed);
     assert!(took <= Duration::from_secs(8), "took {took:?}");
     assert!(net.false_departures().is_empty());
 }
@@ -68,8 +68,8 @@
     net.loss_percent = 30;
     net.run(Duration::from_secs(20));
     net.crash(9);
-    let gone = |net: &Net| net.believers(harness::id(9)) == 0;
-    let took = net.run_until(Duration::from_secs(60), gone);
+    let departed = |net: &Net| net.live_observers(harness::id(9)) == 0;
+    let took = net.run_until(Duration::from_secs(60), departed);
     assert!(took <= Duration::from_secs(20), "took {took:?}");
 }
 
@@ -90,7 +90,7 @@
     net.nodes[3].paused_until = net.now + Duration::from_secs(25);
     net.run(Duration::from_secs(60));
     let woke = net.nodes[3].state.counters().clone();
-    let others_up = net.believers(harness::id(3));
+    let others_up = net.live_observers(harness::id(3));
     assert_eq!(others_up, 30, "the paused node is not live in every table");
     woke.probes_failed as usize
 }
@@ -117,9 +117,11 @@
     // departed without a suspicion.
     let mut net = Net::joined(40, 1, 6);
     net.crash(8);
-    let fresh = net.add_at(8, 0, &config::FleetConfig::default());
-    let done =
-        |net: &Net| net.believers(harness::id(8)) == 0 && net.believers(harness::id(fresh)) == 40;
+    let replacement = net.add_at(8, 0, &config::FleetConfig::default());
+    let done = |net: &Net| {
+        net.live_observers(harness::id(8)) == 0
+            && net.live_observers(harness::id(replacement)) == 40
+    };
     let took = net.run_until(Duration::from_secs(30), done);
     assert!(took <= Duration::from_secs(8), "took {took:?}");
     let ends = net.nodes.iter().flat_map(|n| &n.departures);
--- a/crates/anvil_membership/tests/harness/mod.rs
+++ b/crates/anvil_membership/tests/harness/mod.rs
@@ -250,7 +250,7 @@
     }
 
     /// Number of running nodes that consider `node` live.
-    pub fn believers(&self, node: ident::NodeId) -> usize {
+    pub fn live_observers(&self, node: ident::NodeId) -> usize {
         let live = |n: &&Node| {
             let record = n.state.table().get(node);
             n.running && record.is_some_and(|r| r.state.is_live())
