--- a/crates/anvil_membership/src/spread.rs
+++ b/crates/anvil_membership/src/spread.rs
@@ -1,4 +1,7 @@
 //! The state of rule distribution: the rules that a node holds, and how it obtains newer ones.
+//!
+//! The store holds the rules either as a log of the changes that nodes accepted, with snapshots, or
+//! as a document with the complete rules that operators write under one key.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -101,7 +104,7 @@
 
 /// The rules that this node holds, and the state of its reads, watches, pulls and proposals.
 #[derive(Clone, Debug)]
-pub struct RuleSpread {
+pub struct RuleDistribution {
     /// The changes held.
     pub log: rule_log::RuleLog,
     /// Whether the revision held was compared with peers or with the store.
@@ -141,7 +144,7 @@
     pub proposal: Option<proposal::OpenProposal>,
 }
 
-impl RuleSpread {
+impl RuleDistribution {
     /// Starts at `now` without rules.
     pub fn new(now: time::NodeTime, reads_store: bool, has_seeds: bool) -> Self {
         Self {
