--- a/crates/anvil_core/src/answer_cache.rs
+++ b/crates/anvil_core/src/answer_cache.rs
@@ -1,4 +1,4 @@
-//! Answers that may not have reached their entry nodes.
+//! A cache of sent answers, which may not have reached their entry nodes.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -8,35 +8,37 @@
 
 use crate::calls;
 
-/// How much is kept, and for how long.
+/// The bounds of a cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CacheBounds {
-    /// How long an answer is kept.
+    /// How long an answer is retained.
     pub retention: Duration,
-    /// Bytes of bodies kept at most.
+    /// Most bytes of retained answers.
     pub max_bytes: usize,
 }
 
-/// For answers to requests that must not run again.
+/// The bounds for answers to non-idempotent requests.
 ///
-/// An entry node notices within a second that a connection has gone silent, and asks three times at
-/// most, half a second apart. At 61 answers a second of 4 KB, three seconds take three quarters of the
-/// bytes.
+/// An entry node detects a silent connection within a second and then queries the outcome up to
+/// three times, half a second apart. At 61 answers of 4 KB per second, three seconds use three
+/// quarters of the bytes.
 pub const NON_IDEMPOTENT_BOUNDS: CacheBounds = CacheBounds {
     retention: Duration::from_secs(3),
     max_bytes: 1024 * 1024,
 };
 
-/// For the other answers, which are many and large, and whose requests another target can run: for
-/// longer than their entry nodes wait. One bound of 4 MB and three seconds for all answers would take
-/// 4.3 MB more of each of 14 nodes under usual load, and these 1.5 MB, for the same whole answers
-/// (resident memory over a day of 108 s, once each).
+/// The bounds for answers to idempotent requests.
+///
+/// These answers are many and large, and another target can run their requests, so they are only
+/// retained for longer than their entry nodes wait. One bound of 4 MB and three seconds for all
+/// answers adds 4.3 MB of resident memory to each of 14 nodes under normal load; the separate
+/// bounds add 1.5 MB and save as many answers (one run of 108 s each).
 pub const IDEMPOTENT_BOUNDS: CacheBounds = CacheBounds {
     retention: Duration::from_millis(1_500),
     max_bytes: 256 * 1024,
 };
 
-/// One kept answer, as its age and size are looked after.
+/// The expiry and size of one cached answer.
 #[derive(Clone, Copy, Debug)]
 struct CachedEntry {
     until: time::NodeTime,
@@ -44,12 +46,12 @@
     bytes: usize,
 }
 
-/// The last answers that this node gave to others.
+/// The latest answers that this node sent to other nodes.
 ///
-/// Failure: a connection ends right behind an answer that was written to it. Symptom: the target has
-/// filed the claim, and its caller is told "may have run". The entry node asks again over another
-/// connection, and the answer is given once more. What is kept is bounded by age and by bytes; an answer
-/// that is gone is told as "may have run", as it is today.
+/// If a connection ends right after an answer was written to it, the answer is lost, and the caller
+/// of a request that succeeded would be told that it may have run. With the cache, the entry node
+/// queries the outcome over another connection and receives the answer again. The cache is bounded
+/// by age and by bytes; an attempt whose answer was evicted is reported as "may have run".
 #[derive(Clone, Debug)]
 pub struct AnswerCache {
     bounds: CacheBounds,
@@ -59,7 +61,7 @@
 }
 
 impl AnswerCache {
-    /// Keeps nothing yet.
+    /// An empty cache.
     pub fn new(bounds: CacheBounds) -> Self {
         Self {
             bounds,
@@ -69,7 +71,7 @@
         }
     }
 
-    /// Keeps an answer for as long as it may be asked for.
+    /// Adds an answer. One that exceeds the bound by itself is not cached.
     pub fn insert(&mut self, now: time::NodeTime, answer: &call::PeerAnswer) {
         let body = answer.answer.as_ref().map(|whole| &whole.body[..]);
         let bytes = calls::frame_bytes(body.unwrap_or_default()) as usize;
@@ -84,17 +86,17 @@
         self.answers.insert(id, answer.clone());
     }
 
-    /// The answer to an attempt, where it is still kept.
+    /// The answer to an attempt, if it is still cached.
     pub fn get(&self, id: fate::AttemptId) -> Option<&call::PeerAnswer> {
         self.answers.get(id)
     }
 
-    /// Number of answers kept.
+    /// Number of cached answers.
     pub fn len(&self) -> usize {
         self.order.len()
     }
 
-    /// Whether no answer is kept.
+    /// Whether no answer is cached.
     pub fn is_empty(&self) -> bool {
         self.order.is_empty()
     }
--- a/crates/anvil_core/src/config.rs
+++ b/crates/anvil_core/src/config.rs
@@ -1,22 +1,23 @@
-//! What a node knows of itself from its settings.
+//! The static configuration of a node.
 
 use std::net::SocketAddr;
 
 use anvil_types::{ident, name};
 
-/// Fixed facts about one node.
+/// Identity, location and addresses of one node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NodeConfig {
-    /// This run of the process.
+    /// The id of this process; a restarted node gets a new one.
     pub node: ident::NodeId,
-    /// The availability zone it stands in.
+    /// The availability zone of the node.
     pub zone: name::ZoneName,
-    /// The region it stands in.
+    /// The region of the node.
     pub region: name::RegionName,
-    /// Where it accepts connections of other nodes.
+    /// Where the node accepts connections of other nodes.
     pub peer_address: SocketAddr,
-    /// Where it accepts datagrams of other nodes.
+    /// Where the node accepts datagrams of other nodes.
     pub gossip_address: SocketAddr,
-    /// Addresses of other nodes for datagrams, tried at the start beside the store's contacts.
+    /// Datagram addresses of other nodes that are tried at startup, in addition to the contacts in
+    /// the store.
     pub seeds: Vec<SocketAddr>,
 }
--- a/crates/anvil_core/src/counters.rs
+++ b/crates/anvil_core/src/counters.rs
@@ -1,4 +1,4 @@
-//! Counters of the reducer, exported by the metrics endpoint and the dump.
+//! Counters of the reducer, exported by the metrics endpoint and in the dump.
 
 use anvil_types::verdict;
 use serde::Serialize;
@@ -6,51 +6,51 @@
 /// Totals since the start of the process.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct NodeCounters {
-    /// Requests taken from callers.
+    /// Requests accepted from callers.
     pub calls_arrived: u64,
-    /// Requests refused since they bear no key that an account holds.
+    /// Requests refused because they carry no key of a known account.
     pub calls_unauthenticated: u64,
-    /// Requests refused since their account has used up its quota.
+    /// Requests refused because their account has used up its quota.
     pub calls_over_quota: u64,
-    /// Replies with a whole answer.
+    /// Replies with a complete answer.
     pub calls_answered: u64,
-    /// Replies proved not run.
+    /// Replies to requests that certainly did not run.
     pub calls_not_run: u64,
-    /// Replies of unknown outcome.
+    /// Replies to requests that may have run.
     pub calls_may_have_run: u64,
-    /// Callers that went away before their reply.
+    /// Callers that disconnected before their reply.
     pub callers_gone: u64,
-    /// Attempts dispatched beyond first ones.
+    /// Attempts dispatched after the first one of their call.
     pub retries: u64,
-    /// Answers that matched no open attempt and were dropped.
+    /// Answers dropped because they matched no open attempt.
     pub answers_stale: u64,
-    /// Calls of other nodes that came a second time and were dropped.
+    /// Duplicate attempts of other nodes that were dropped.
     pub calls_repeated: u64,
     /// Runs started at the local target.
     pub runs_started: u64,
-    /// Runs that ended with a whole answer.
+    /// Runs that ended with a complete answer.
     pub runs_whole: u64,
-    /// Runs that ended any other way.
+    /// Runs that ended in any other way.
     pub runs_failed: u64,
     /// Calls of other nodes refused before they ran.
     pub runs_refused: u64,
-    /// Words of the local target that came too late to count.
+    /// Messages of the local target that were ignored as outdated or of an unknown service.
     pub words_ignored: u64,
-    /// Crashes of the local target seen by broken runs.
+    /// Crashes of the local target, detected by broken runs.
     pub targets_crashed: u64,
-    /// Retries that the node's ratio did not allow.
+    /// Retries that the retry ratio did not allow.
     pub retries_over_ratio: u64,
     /// Runs cancelled because their caller or parent was gone.
     pub runs_cancelled: u64,
-    /// Attempts asked about, since the connection that they were on had ended.
+    /// Attempts whose outcome was queried because their connection had ended.
     pub fates_asked: u64,
-    /// Attempts told as still queued or running, to entry nodes that had lost a connection.
+    /// Queried attempts that were reported as still queued or running.
     pub fates_held: u64,
-    /// Answers given once more, since the first may have been lost with its connection.
+    /// Answers sent again because the first copy may have been lost with its connection.
     pub fates_answered: u64,
-    /// Attempts told as never arrived, or as forgotten.
+    /// Queried attempts that never arrived or are no longer remembered.
     pub fates_unknown: u64,
-    /// Attempts given up, since their node is gone or said nothing of them.
+    /// Attempts given up because their node has ended or did not answer the query.
     pub fates_lost: u64,
 }
 
--- a/crates/anvil_core/src/directory.rs
+++ b/crates/anvil_core/src/directory.rs
@@ -1,4 +1,4 @@
-//! Where the targets of each service are.
+//! The known targets of each service.
 
 use std::net::SocketAddr;
 
@@ -13,17 +13,17 @@
     pub address: SocketAddr,
     /// The service of its target.
     pub service: name::ServiceName,
-    /// The availability zone it stands in.
+    /// The availability zone of the node.
     pub zone: name::ZoneName,
-    /// Requests that its target can run at once.
+    /// Requests that its target can run concurrently.
     pub slots: u32,
     /// Whether the node or its target is leaving.
     pub leaving: bool,
-    /// Which of the node's announcements told so.
+    /// The number of the node's announcement that contained these facts.
     pub announced: u32,
 }
 
-/// All known targets, and the choice among them.
+/// All known targets, and the choice of one for each attempt.
 #[derive(Debug)]
 pub struct PeerDirectory {
     peers: sorted::SortedTable<ident::NodeId, PeerRecord>,
@@ -31,7 +31,7 @@
 }
 
 impl PeerDirectory {
-    /// The directory of a node in `zone` that knows nobody yet.
+    /// The empty directory of a node in `zone`.
     pub fn new(zone: name::ZoneName, seed: u64, policy: policy::OverloadPolicy) -> Self {
         Self {
             peers: sorted::SortedTable::default(),
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Learns or renews a node.
+    /// Adds or updates a node.
     pub fn upsert(&mut self, now: time::NodeTime, node: ident::NodeId, record: PeerRecord) {
         let target = routing::TargetRecord {
             node,
@@ -57,7 +57,7 @@
         self.peers.insert(node, record);
     }
 
-    /// Forgets a node.
+    /// Removes a node.
     pub fn remove(&mut self, node: ident::NodeId) {
         if let Some(known) = self.peers.remove(node) {
             self.routes.remove(&known.service, node);
@@ -69,7 +69,7 @@
         self.peers.iter()
     }
 
-    /// Chooses a node outside of those excluded, or again from all where none is left.
+    /// Chooses a node that is not excluded, or any node if all others are excluded.
     pub fn choose(
         &mut self,
         now: time::NodeTime,
@@ -84,7 +84,7 @@
             .choose(now, routing::RouteQuery { exclude, ..query })
     }
 
-    /// Counts a request of `class` that left for `node`.
+    /// Counts a request of `class` that was sent to `node`.
     pub fn attempt_sent(
         &mut self,
         service: &name::ServiceName,
@@ -94,7 +94,7 @@
         self.routes.sent(service, node, class);
     }
 
-    /// Takes in the end of an attempt.
+    /// Records the outcome of an attempt.
     pub fn attempt_ended(
         &mut self,
         now: time::NodeTime,
@@ -105,7 +105,7 @@
         self.routes.ended(now, service, node, attempt);
     }
 
-    /// The cut line below which no target of `service` takes a request of `kind`.
+    /// The cut line below which no target of `service` accepts a request of `kind`.
     pub fn line(
         &self,
         now: time::NodeTime,
@@ -115,12 +115,12 @@
         self.routes.line(now, service, kind)
     }
 
-    /// Nodes beside the targets of `service`, with their addresses.
+    /// The nodes of the targets of `service`, with their addresses.
     pub fn nodes_of(&self, service: &name::ServiceName) -> Vec<(ident::NodeId, SocketAddr)> {
         self.routes.nodes(service).collect()
     }
 
-    /// What is known of each target, for the dump.
+    /// The routes to all targets, for the dump.
     pub fn routes(&self) -> &routing::RouteTable {
         &self.routes
     }
--- a/crates/anvil_core/src/duplicates.rs
+++ b/crates/anvil_core/src/duplicates.rs
@@ -1,4 +1,4 @@
-//! Attempts that must not be started again by a repeated frame.
+//! Detection of duplicate attempts, which must not start a second run.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -6,68 +6,70 @@
 use anvil_types::{sorted, time};
 use anvil_wire::fate;
 
-/// How long an attempt is remembered; no frame is under way for longer, since connections that
-/// deliver nothing for a minute are closed.
+/// How long an attempt of a non-idempotent request is remembered. No frame is in transit for
+/// longer, because connections that deliver nothing for a minute are closed.
 pub const NON_IDEMPOTENT_RETENTION: Duration = Duration::from_secs(120);
 
-/// Most attempts remembered, of 48 bytes each; at 61 calls a second, all of them non-idempotent,
+/// Most remembered attempts, of 48 bytes each. At 61 calls per second, all of them non-idempotent,
 /// two minutes fill less than half of it.
 pub const MAX_REMEMBERED: usize = 16_384;
 
-/// How long attempts of requests that may run again are remembered. Nothing runs twice for want of it: it
-/// tells the entry nodes that ask, three seconds at most after a connection ended, what never came.
+/// How long an attempt of an idempotent request is remembered. It doesn't prevent a second run, it
+/// only serves to answer entry nodes that query, at most three seconds after a connection ended,
+/// whether an attempt arrived.
 pub const IDEMPOTENT_RETENTION: Duration = Duration::from_secs(15);
 
-/// Time without any attempt after which a memory that has just forgotten is not relied on.
+/// The time without any attempt after which the process may have been suspended.
 ///
-/// Failure: the process is suspended, wakes, and forgets by its clock what came just before. Symptom: it
-/// says of a claim that ran that it never came. Usual pauses between two attempts are far shorter; after
-/// a longer one it says "may have run", which is true of anything.
+/// A process that resumes evicts, by its clock, attempts that arrived just before it was suspended,
+/// and would then report of a request that ran that it never arrived. After a gap of this length
+/// everything that is evicted counts as recent, so the answer is "may have run". Normal gaps
+/// between two attempts are far shorter.
 const SUSPENSION_THRESHOLD: Duration = Duration::from_secs(1);
 
-/// What is remembered of one attempt.
+/// Whether an attempt arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptStatus {
-    /// It came.
+    /// It arrived.
     Seen,
-    /// It never came.
+    /// It never arrived.
     New,
-    /// It may have come and been forgotten.
+    /// It may have arrived and been evicted.
     Unknown,
 }
 
-/// Attempts accepted within the time that they are remembered.
+/// Remembers the attempts that arrived within the retention time.
 ///
-/// Failure: a frame comes twice, the second time after the run has ended, when the table of runs
-/// has forgotten it. Symptom: the action runs twice although its caller sent it once. An entry
-/// node never uses a call and attempt again, so refusing what was seen within the life of any
-/// frame is enough.
+/// If a frame is delivered twice, and the second time after the run has ended and left the table of
+/// runs, the request would run twice although its caller sent it once. An entry node never reuses
+/// the id of a call and attempt, so it is sufficient to drop attempts that were seen within the
+/// maximum lifetime of a frame.
 #[derive(Clone, Debug)]
 pub struct DuplicateFilter {
     retention: Duration,
     seen: sorted::SortedTable<fate::AttemptId, ()>,
     order: VecDeque<(time::NodeTime, fate::AttemptId)>,
-    /// Whatever came at this time or before it may be forgotten.
-    forgotten: Option<time::NodeTime>,
-    /// When the guard was last asked.
-    last: time::NodeTime,
+    /// Attempts that arrived at this time or earlier may have been evicted.
+    evicted_until: Option<time::NodeTime>,
+    /// When the last attempt was checked.
+    last_checked: time::NodeTime,
 }
 
 impl DuplicateFilter {
-    /// A guard that remembers for `memory`.
-    pub fn with_retention(memory: Duration) -> Self {
+    /// A filter that remembers attempts for `retention`.
+    pub fn with_retention(retention: Duration) -> Self {
         Self {
-            retention: memory,
+            retention,
             seen: sorted::SortedTable::default(),
             order: VecDeque::new(),
-            forgotten: None,
-            last: time::NodeTime::START,
+            evicted_until: None,
+            last_checked: time::NodeTime::START,
         }
     }
 
-    /// Notes an attempt; tells whether it is new.
+    /// Records an attempt and returns whether it is new.
     pub fn admit(&mut self, now: time::NodeTime, id: fate::AttemptId) -> bool {
-        self.forget(now);
+        self.evict(now);
         if self.seen.get(id).is_some() {
             return false;
         }
@@ -76,11 +78,11 @@
         true
     }
 
-    /// Whether an attempt that was sent at `sent` or later has come.
+    /// Whether an attempt that was sent at `sent` or later has arrived.
     pub fn status(&self, id: fate::AttemptId, sent: time::NodeTime) -> AttemptStatus {
         match self.seen.get(id) {
             Some(()) => AttemptStatus::Seen,
-            None if self.forgotten.is_some_and(|until| sent <= until) => AttemptStatus::Unknown,
+            None if self.evicted_until.is_some_and(|until| sent <= until) => AttemptStatus::Unknown,
             None => AttemptStatus::New,
         }
     }
@@ -95,16 +97,16 @@
         self.order.is_empty()
     }
 
-    fn forget(&mut self, now: time::NodeTime) {
-        let paused = now.since(self.last) > SUSPENSION_THRESHOLD;
-        self.last = now;
-        while let Some((came, id)) = self.order.front().copied() {
-            if now.since(came) < self.retention && self.order.len() < MAX_REMEMBERED {
+    fn evict(&mut self, now: time::NodeTime) {
+        let suspended = now.since(self.last_checked) > SUSPENSION_THRESHOLD;
+        self.last_checked = now;
+        while let Some((arrived, id)) = self.order.front().copied() {
+            if now.since(arrived) < self.retention && self.order.len() < MAX_REMEMBERED {
                 return;
             }
             self.order.pop_front();
             self.seen.remove(id);
-            self.forgotten = Some(if paused { now } else { came });
+            self.evicted_until = Some(if suspended { now } else { arrived });
         }
     }
 }
--- a/crates/anvil_core/src/effect.rs
+++ b/crates/anvil_core/src/effect.rs
@@ -1,4 +1,4 @@
-//! Everything that a node does to its surroundings, as data.
+//! Effects: the outputs of the reducer, as data.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,27 +10,27 @@
 
 use crate::{answer, event, incarnations, request_log};
 
-/// The one reply to a caller.
+/// The reply to a caller; each call gets exactly one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallerReply {
     /// Whether the request ran.
     pub verdict: verdict::CallVerdict,
-    /// The whole answer where there is one.
+    /// The complete answer, if there is one.
     pub answer: Option<call::CallAnswer>,
-    /// The request's id, for the caller's own records and resends.
+    /// The id of the request, which the caller may log and use for resends.
     pub request: ident::RequestId,
-    /// Attempts dispatched by this node for the call.
+    /// Attempts that this node dispatched for the call.
     pub attempts: u16,
-    /// The rule that decided.
+    /// The rule that applied.
     pub rule: treatment::RuleMark,
-    /// When to come back, where the request was refused for want of capacity.
+    /// How long the caller should wait before it retries, if a retry may succeed.
     pub retry_after: Option<Duration>,
-    /// The caller's own id of the request.
+    /// The id that the caller gave the request.
     pub label: Option<ident::RequestLabel>,
 }
 
 impl CallerReply {
-    /// The reply to the request called `label` that never reached the reducer, or that it forgot.
+    /// The reply to the request with the id `label` that has no open call in the reducer.
     pub fn without_answer(
         label: Option<ident::RequestLabel>,
         verdict: verdict::CallVerdict,
@@ -48,114 +48,116 @@
     }
 }
 
-/// A run at the local target.
+/// An order to run a request at the local target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunOrder {
-    /// Identity of the run, and the token the target sends back on its own calls.
+    /// Identity of the run; the target sends it back on its own calls as the parent token.
     pub run: event::RunId,
     /// Where the target listens.
     pub address: SocketAddr,
-    /// The start of the target that the request is for, where the target names its starts.
+    /// The incarnation of the target that the request is for, if the target announces incarnations.
     pub incarnation: Option<ident::IncarnationId>,
-    /// The client account that the root request is sent for, told to the target.
+    /// The client account of the root request, passed on to the target.
     pub account: Option<name::AccountName>,
-    /// The caller's own id of the request.
+    /// The id that the caller gave the request.
     pub label: Option<ident::RequestLabel>,
     /// The request.
     pub request: call::CallRequest,
-    /// The root request, told to the target.
+    /// The root request, passed on to the target.
     pub root: ident::RequestId,
-    /// Whether a run may be repeated.
+    /// Whether the request may run more than once.
     pub idempotent: bool,
-    /// Time left; also told to the target.
+    /// Time left for the run; passed on to the target.
     pub timeout: Duration,
 }
 
-/// A change of state worth a log line.
+/// A change of state that is logged.
 ///
-/// The text is for people, the serialized form for the log: one JSON object, whose field `event`
-/// names the change.
+/// The text is meant for people. The serialized form is what the log holds: one JSON object whose
+/// field `event` names the change.
 #[derive(Clone, Debug, Display, PartialEq, Serialize)]
 #[serde(tag = "event", rename_all = "kebab-case")]
 pub enum StateChange {
-    /// The local target came.
+    /// The local target is serving, for the first time or with changed facts.
     #[display("target serving: service={service} address={address} slots={slots}")]
     TargetServing {
-        /// Its service.
+        /// The service that it offers.
         service: String,
-        /// Its address.
+        /// Where it accepts requests.
         address: SocketAddr,
-        /// Its slots.
+        /// Requests that it can run concurrently.
         slots: u32,
     },
-    /// The local target's lease lapsed or it left.
+    /// The local target left, or its lease expired.
     #[display("target gone: reason={reason}")]
     TargetGone {
-        /// Why.
+        /// Why the target is not used any more.
         reason: String,
     },
-    /// A word of the target came too late to count.
-    #[display("word ignored: incarnation={incarnation} sequence={sequence} standing={status}")]
+    /// A message of the target was ignored because it was outdated or named an unknown service.
+    #[display(
+        "announcement ignored: incarnation={incarnation} sequence={sequence} standing={status}"
+    )]
     #[serde(rename = "word-ignored")]
     AnnouncementIgnored {
-        /// The start that it is of.
+        /// The incarnation that sent the message.
         incarnation: ident::IncarnationId,
-        /// When that started by its own clock, in Unix milliseconds, where the word says so.
+        /// When it started by its own clock, in Unix milliseconds, if the message says so.
         #[serde(rename = "born")]
         started_at_ms: Option<u64>,
-        /// Its place among the words of that start.
+        /// The position of the message among those of the incarnation.
         sequence: u64,
-        /// Why it doesn't count.
+        /// Why the message was ignored.
         #[serde(rename = "standing")]
         status: incarnations::AnnouncementStatus,
     },
-    /// Anything a state module reports in its own words.
+    /// A free-form message of one part of the node.
     #[display("{part}: {text}")]
     Part {
-        /// The state module.
+        /// The part, such as `fleet` or `rules`.
         part: &'static str,
-        /// What changed.
+        /// The message.
         text: String,
     },
-    /// A request came to its end at its entry node.
+    /// A request ended at its entry node.
     #[display("call ended")]
     CallEnded(Box<request_log::CallSummary>),
-    /// A request came to its end at the target's node.
+    /// A request ended at the target's node.
     #[display("run ended")]
     RunEnded(Box<request_log::RunSummary>),
-    /// A call whose idempotency key is guarded went a step on.
+    /// A call with a guarded idempotency key reached its next step.
     #[display("keyed call")]
     KeyedCall(Box<request_log::KeyedRecord>),
-    /// Lines about single requests were held back, to bound the log.
-    #[display("lines held back: {count}")]
+    /// Lines about single requests were suppressed to bound the size of the log.
+    #[display("lines suppressed: {count}")]
     #[serde(rename = "held-back")]
     LinesSuppressed {
-        /// How many.
+        /// Number of suppressed lines.
         count: u64,
     },
-    /// The node stops.
+    /// A stop of the node was requested.
     #[display("stopping: forced={forced} running={running}")]
     Stopping {
-        /// Whether a second signal or the deadline forced it.
+        /// Whether a repeated request forces the stop.
         forced: bool,
-        /// Requests still out.
+        /// Open calls and running runs.
         running: usize,
     },
 }
 
-/// Everything that a node does to its surroundings.
+/// An action that the process carries out for the reducer.
 #[derive(Clone, Debug)]
 pub enum NodeEffect {
     /// Reply to a caller.
     ReplyCaller {
-        /// Whose connection.
+        /// The connection of the caller.
         handle: event::CallerHandle,
         /// The reply.
         reply: Box<CallerReply>,
     },
-    /// Send a frame to another node, opening a connection where there is none.
+    /// Send a frame to another node, over a new connection if there is none.
     SendFrame {
-        /// The receiver; the handshake must prove it.
+        /// The receiver; the handshake must authenticate it.
         peer: ident::NodeId,
         /// Where it accepts connections.
         address: SocketAddr,
@@ -164,9 +166,9 @@
     },
     /// Send a datagram to another node.
     SendDatagram {
-        /// Where to.
+        /// The address of the receiver.
         to: SocketAddr,
-        /// What.
+        /// The message.
         message: gossip::GossipMessage,
     },
     /// Run a request at the local target.
@@ -175,23 +177,23 @@
     CancelRun(event::RunId),
     /// Answer an operator.
     AnswerOperator {
-        /// Whose question.
+        /// The handle of the operator's request.
         handle: event::OperatorHandle,
-        /// The answer, or why there is none.
+        /// The answer, or why the request was not carried out.
         answer: Result<answer::OperatorAnswer, answer::OperatorRefusal>,
     },
-    /// Ask the platform's store; the outcome comes back as
+    /// Send a request to the platform's store; the outcome comes back as
     /// [`event::NodeEvent::StoreAnswered`].
     SendStoreRequest {
-        /// Identity of the question.
+        /// Identity of the request.
         id: store::StoreId,
-        /// The question.
+        /// The request.
         request: store::StoreAsk,
     },
-    /// Callers should send this node work from now on, or should stop to.
+    /// Tell callers whether this node is ready for their requests.
     Readiness(bool),
     /// Write a log line.
     Report(StateChange),
-    /// Leave the process with everything answered.
+    /// End the process; everything has been answered.
     Exit,
 }
--- a/crates/anvil_core/src/event.rs
+++ b/crates/anvil_core/src/event.rs
@@ -1,4 +1,4 @@
-//! Everything that can happen to a node.
+//! Events: the inputs of the reducer.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,97 +8,98 @@
 use anvil_wire::{call, frame, gossip};
 use bytes::Bytes;
 
-/// A caller's connection that waits for one reply; local to the edge.
+/// A caller's connection that waits for one reply; it has a meaning only inside this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CallerHandle(pub u64);
 
-/// An operator's request that waits for one reply; local to the edge.
+/// An operator's request that waits for one reply; it has a meaning only inside this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct OperatorHandle(pub u64);
 
-/// One run of a request at the local target.
+/// Identity of one run of a request at the local target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RunId(pub u64);
 
-/// What the caller's headers say about the call, apart from the request itself.
+/// What the caller's headers say about a call, apart from the request itself.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CallerHints {
-    /// The request id, where the caller resends under its own.
+    /// The request id, if the caller resends a request under the id of its first copy.
     pub request: Option<ident::RequestId>,
-    /// Time the caller still waits.
+    /// How long the caller still waits.
     pub timeout: Option<Duration>,
-    /// The key of a client account, as a digest.
+    /// The digest of a client account's key.
     pub credential: account::CallerCredential,
     /// The idempotency key, as sent.
     pub key: Option<Bytes>,
-    /// The caller's own id of the request.
+    /// The id that the caller gave the request.
     pub label: Option<ident::RequestLabel>,
-    /// The id of the request on whose behalf the local target may be calling, as far as the call's
-    /// own id tells; a hint only, since nobody promises that ids are built so.
+    /// The id of the parent request, derived from the id of the call. This is only a hint, because
+    /// callers are not required to build ids that way.
     pub parent_label: Option<ident::RequestLabel>,
-    /// The context of the parent call, where the local target calls on behalf of it.
+    /// The parent run, if the local target makes the call on behalf of one.
     pub parent: Option<ParentToken>,
-    /// Whether it stands behind requests of its connection that are not answered yet. If the
-    /// connection closes before its turn, it counts as not read and the caller sends it again.
+    /// Whether the request is pipelined: earlier requests on its connection have no answer yet. If
+    /// the connection closes before those are answered, the caller takes the request as not read
+    /// and sends it again.
     pub pipelined: bool,
 }
 
-/// Names a running call of the local target, handed to the target with the request and sent back
-/// on its own outgoing calls, so that the context follows without the target's understanding it.
+/// An opaque token that identifies a run. The target receives it with the request and sends it
+/// back on its own outgoing calls, which links them to the context of the run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ParentToken(pub RunId);
 
-/// How a run at the local target ended.
+/// The outcome of a run at the local target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RunOutcome {
-    /// The whole answer arrived.
+    /// The complete answer arrived.
     Answered(call::CallAnswer),
-    /// The target said that it refused the request without running it.
+    /// The target refused the request without running it.
     Refused,
-    /// Another start of a target answered at the address, without running the request.
+    /// Another incarnation of the target answered at the address, without running the request.
     Misdirected {
-        /// The one that answered, where it said so.
+        /// The incarnation that answered, if it identified itself.
         holder: Option<ident::IncarnationId>,
     },
-    /// No connection came about, so no byte of the request left.
+    /// No connection could be opened, so no byte of the request was sent.
     Unreachable,
-    /// The connection broke after the first byte had left and before the whole answer arrived.
+    /// The connection broke after the first byte was sent and before the complete answer arrived.
     Broken {
-        /// Whether the answer had begun.
+        /// Whether a part of the answer had arrived.
         in_answer: bool,
     },
-    /// The deadline passed while the request was out.
+    /// The deadline passed while the target was working on the request.
     TimedOut,
-    /// The run was cancelled by the node.
+    /// The node cancelled the run.
     Cancelled,
 }
 
-/// What a target says of itself.
+/// An announcement in which the local target describes itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TargetAnnouncement {
-    /// The service it offers.
+    /// The service that it offers.
     pub service: name::ServiceName,
     /// Where it accepts requests.
     pub address: SocketAddr,
-    /// Requests it can run at once.
+    /// Requests that it can run concurrently.
     pub slots: u32,
-    /// Connections it accepts.
+    /// Connections that it accepts.
     pub connections: u32,
-    /// Time until the announcement lapses unless renewed.
+    /// Time until the announcement expires unless it is renewed.
     pub lease: Duration,
-    /// Whether it has served for long enough to take a full load at once.
+    /// Whether the target has warmed up and can take its full load immediately.
     pub warm: bool,
-    /// Which start of the target speaks, where it says so.
+    /// The incarnation of the target that sent the announcement, if it identified itself.
     pub incarnation: Option<TargetIncarnation>,
 }
 
 impl TargetAnnouncement {
-    /// Which start speaks, where it says so.
+    /// The id of the incarnation that sent the announcement, if it identified itself.
     pub fn incarnation_id(&self) -> Option<&ident::IncarnationId> {
         self.incarnation.as_ref().map(|incarnation| &incarnation.id)
     }
 
-    /// Whether `next` is a word of the same start.
+    /// Whether `next` was sent by the same incarnation.
     pub fn is_same_incarnation(&self, next: &Self) -> bool {
         match (&self.incarnation, &next.incarnation) {
             (Some(own), Some(other)) => own.is_same_incarnation(other),
@@ -107,7 +108,7 @@
         }
     }
 
-    /// Whether `next` says the same as this one, but for its place among the words of its start.
+    /// Whether `next` repeats this announcement; only the sequence number may differ.
     pub fn is_renewed_by(&self, next: &Self) -> bool {
         let same = Self {
             incarnation: next.incarnation.clone(),
@@ -117,25 +118,26 @@
     }
 }
 
-/// One start of the target and the place of its word among its others.
+/// The incarnation of the target that sent a message, and the position of the message among those
+/// of that incarnation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TargetIncarnation {
-    /// The name that the start goes by; a target may start again under the one that it had.
+    /// The id of the incarnation. A restarted target may reuse the id that it had before.
     pub id: ident::IncarnationId,
-    /// When it started by its own clock, in Unix milliseconds, where it says so.
+    /// When the incarnation started by its own clock, in Unix milliseconds, if it announced that.
     pub started_at_ms: Option<u64>,
-    /// Rises with each word of that start, so that one which comes late can be told.
+    /// Increases with each message of the incarnation, which exposes messages that arrive late.
     pub sequence: u64,
 }
 
 impl TargetIncarnation {
-    /// Whether `other` is a word of the same start, and not of another one under the same id.
+    /// Whether `other` was sent by the same incarnation, and not by another one that reuses the id.
     pub fn is_same_incarnation(&self, other: &Self) -> bool {
         self.id == other.id && self.started_at_ms == other.started_at_ms
     }
 }
 
-/// A question of an operator to this node.
+/// A request of an operator to this node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OperatorRequest {
     /// The whole state, as JSON.
@@ -144,104 +146,107 @@
     Status,
     /// Counters and gauges, as JSON pairs.
     Counters,
-    /// Which rule decides a request, and why, as JSON.
+    /// Which rule applies to a request, and why, as JSON.
     Explain(Box<call::CallRequest>),
-    /// A change of the rules: the whole rules as they shall be, and the revision they were made
-    /// from. The edge reads and checks the text, which may take longer than a request may wait.
+    /// A change of the rules: the complete new rules and the revision that they are based on. The
+    /// edge parses and validates the text, because that may take longer than a request may wait
+    /// for the reducer.
     Apply {
-        /// The rules, checked.
+        /// The rules, already validated.
         rules: document::RuleDocument,
-        /// The operator's own id of the change.
+        /// The id that the operator gave the change.
         change: u128,
-        /// Who made it, as the operators' command tells.
+        /// Who made the change, as stated by the operator's command.
         author: String,
-        /// The revision the operator saw.
+        /// The revision that the operator edited.
         base: ident::RuleRevision,
     },
     /// The rules in force, as YAML.
     Rules,
-    /// The change ids, authors and revisions kept, as JSON.
+    /// The ids, authors and revisions of the retained changes, as JSON.
     History,
 }
 
 /// Everything that can happen to a node.
+///
+/// The reducer has no other inputs besides the time.
 #[derive(Clone, Debug)]
 pub enum NodeEvent {
-    /// A caller sent a whole request.
+    /// A caller sent a complete request.
     CallArrived {
         /// Where the reply goes.
         handle: CallerHandle,
         /// The request.
         request: Box<call::CallRequest>,
-        /// What the headers say beside it.
+        /// Additional information from the headers.
         hints: CallerHints,
     },
     /// The caller closed its connection before the reply.
     CallerDisconnected {
-        /// Whose.
+        /// The handle of the caller.
         handle: CallerHandle,
     },
     /// A frame from another node.
     FrameArrived {
-        /// The sender, as proved in the handshake.
+        /// The sender, authenticated in the handshake.
         peer: ident::NodeId,
         /// The frame.
         frame: frame::PeerFrame,
     },
-    /// A connection to another node ended, and what was out on it is of unknown fate. The other process
-    /// may live on.
+    /// A connection to another node ended, so the outcome of everything in flight on it is unknown.
+    /// The other process may still be running.
     ConnectionLost {
         /// The other node.
         peer: ident::NodeId,
     },
-    /// No connection to another node came about; frames to it were not sent.
+    /// No connection to another node could be opened; frames to it were not sent.
     PeerUnreachable {
         /// The other node.
         peer: ident::NodeId,
-        /// The frames that never left.
+        /// The frames that were not sent.
         unsent: Vec<frame::PeerFrame>,
     },
     /// An authenticated datagram from another node.
     DatagramArrived {
-        /// Where it came from.
+        /// The address of the sender.
         from: SocketAddr,
-        /// What it says.
+        /// The message.
         message: gossip::GossipMessage,
     },
     /// A run at the local target ended.
     RunEnded {
-        /// Which.
+        /// The run.
         run: RunId,
-        /// How.
+        /// Its outcome.
         outcome: RunOutcome,
     },
-    /// The local target announced itself or renewed.
+    /// The local target announced itself or renewed its announcement.
     TargetAnnounced(TargetAnnouncement),
-    /// The local target says that it leaves.
+    /// The local target announced that it is leaving.
     TargetLeaving,
-    /// One start of the local target says that it leaves, or is gone for good.
+    /// One incarnation of the local target announced that it is leaving or has terminated.
     TargetWithdrawn {
-        /// Which, and the place of its word among its others.
+        /// The incarnation, and the position of this message among its messages.
         incarnation: TargetIncarnation,
-        /// Whether nothing more will come from it.
+        /// Whether the incarnation has terminated and sends nothing more.
         terminated: bool,
     },
-    /// An operator asked something.
+    /// An operator sent a request.
     OperatorRequestArrived {
         /// Where the answer goes.
         handle: OperatorHandle,
-        /// What.
+        /// The request.
         request: OperatorRequest,
     },
-    /// A question to the platform's store ended.
+    /// A request to the platform's store was answered or failed.
     StoreAnswered {
-        /// Which.
+        /// The request.
         id: store::StoreId,
-        /// How.
+        /// Its outcome.
         outcome: store::StoreOutcome,
     },
-    /// The time that `next_wake` of the reducer named has come, or a little later.
+    /// The time returned by the reducer's `next_wake` has come.
     TimerFired,
-    /// A stop was asked for; a second one forces it.
+    /// A stop was requested; a second request forces it.
     StopRequested,
 }
--- a/crates/anvil_core/src/incarnations.rs
+++ b/crates/anvil_core/src/incarnations.rs
@@ -1,8 +1,8 @@
-//! Which start of the local target speaks, and whether its word is the newest.
+//! The incarnations of the local target, and whether a message of one is still current.
 //!
-//! A target's words may come seconds late, even after its process has crashed and another one has
-//! registered at the same address, or the same one under the id that it had. Taken as they come, a
-//! late word would revive a target that left.
+//! A target's messages may arrive seconds late, even after its process has crashed and another one
+//! has registered at the same address, possibly under the same id. If messages were applied in the
+//! order of their arrival, a late one would revive a target that left.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -13,175 +13,178 @@
 
 use crate::event;
 
-/// Ids of targets that are remembered, the latest ones.
+/// Most target ids that are remembered.
 ///
-/// A target restarts within seconds at the fastest and its words are late by seconds at most, so a
-/// handful would do.
+/// A restart takes at least some seconds and messages are late by at most some seconds, so even a
+/// handful would be enough.
 const MAX_IDS: usize = 64;
 
-/// How late a word may arrive: cuts that hold words back last ten seconds or so.
+/// How late a message may arrive: network partitions that delay messages last about ten seconds.
 ///
-/// Two things can't be told from the word alone: an earlier start from a later one whose clock went
-/// back between them, and the end of which start a word means that names none. Within this time of
-/// the present start's words they count as late, so that nothing is revived; after it the target
-/// that goes on speaking is there, whatever its clock says.
+/// A message alone doesn't show whether an earlier start time means an earlier incarnation or a
+/// later one whose clock was set back, nor which incarnation ended if it contains no start time.
+/// Within this time after the latest message of the current incarnation such messages count as
+/// late, so nothing is revived; after it, the incarnation that still sends messages is the current
+/// one, whatever its clock says.
 pub const MAX_ANNOUNCEMENT_DELAY: Duration = Duration::from_secs(15);
 
-/// How a word of a target stands to those before it.
+/// How a message of a target relates to those received before it.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum AnnouncementStatus {
-    /// The newest word of a start that has not ended.
+    /// The newest message of an incarnation that has not ended.
     #[display("newest")]
     Newest,
-    /// A later word of the same start came before it.
+    /// A later message of the same incarnation was received before.
     #[display("late")]
     Late,
-    /// A word of a later start under the same id came before it.
+    /// A message of a later incarnation with the same id was received before.
     #[display("earlier-start")]
     EarlierStart,
-    /// The start has ended.
+    /// The incarnation has ended.
     #[display("ended")]
     Ended,
-    /// It offers a service that neither the settings nor the rules name.
+    /// The message offers a service that neither the settings nor the rules contain.
     #[display("unknown-service")]
     UnknownService,
 }
 
-/// The latest start that is known under an id.
+/// The latest known incarnation with an id.
 #[derive(Clone, Debug)]
 struct KnownIncarnation {
     id: ident::IncarnationId,
-    /// When it started by its own clock, in Unix milliseconds, where it said so.
+    /// When it started by its own clock, in Unix milliseconds, if it announced that.
     started_at_ms: Option<u64>,
     sequence: u64,
-    /// When its first word came.
+    /// When its first message was received.
     first_received: time::NodeTime,
-    /// When its latest word came.
+    /// When its latest message was received.
     last_received: time::NodeTime,
     ended: Option<IncarnationEnd>,
 }
 
-/// How far it is known that a start ended.
+/// How certain it is that an incarnation ended.
 #[derive(Clone, Copy, Debug)]
 enum IncarnationEnd {
-    /// It said so, or another one stands in its place.
+    /// It announced its end, or another one replaced it.
     Certain,
-    /// A word that named no start said so soon after this one came, so it may mean an earlier one.
-    Unclear(time::NodeTime),
+    /// At this time an end without a start time was announced. It came soon after the first message
+    /// of this incarnation, so it may refer to an earlier one.
+    Uncertain(time::NodeTime),
 }
 
 impl KnownIncarnation {
-    fn new(now: time::NodeTime, word: &event::TargetIncarnation) -> Self {
+    fn new(now: time::NodeTime, message: &event::TargetIncarnation) -> Self {
         Self {
-            id: word.id.clone(),
-            started_at_ms: word.started_at_ms,
-            sequence: word.sequence,
+            id: message.id.clone(),
+            started_at_ms: message.started_at_ms,
+            sequence: message.sequence,
             first_received: now,
             last_received: now,
             ended: None,
         }
     }
 
-    /// Whether a word of the birth that is known is heard as one of an ended start.
+    /// Whether a message with the known start time counts as one of an ended incarnation.
     fn has_ended(&self, now: time::NodeTime) -> bool {
         match self.ended {
             None => false,
             Some(IncarnationEnd::Certain) => true,
-            Some(IncarnationEnd::Unclear(at)) => now.since(at) < MAX_ANNOUNCEMENT_DELAY,
+            Some(IncarnationEnd::Uncertain(at)) => now.since(at) < MAX_ANNOUNCEMENT_DELAY,
         }
     }
 
-    /// Whether `word` is of an earlier start than the one that is known.
-    fn follows(&self, now: time::NodeTime, word: &event::TargetIncarnation) -> bool {
-        word.started_at_ms < self.started_at_ms
+    /// Whether `message` belongs to an earlier incarnation than the known one.
+    fn supersedes(&self, now: time::NodeTime, message: &event::TargetIncarnation) -> bool {
+        message.started_at_ms < self.started_at_ms
             && now.since(self.last_received) < MAX_ANNOUNCEMENT_DELAY
     }
 }
 
-/// The starts of the local target that this node has heard of.
+/// The known incarnations of the local target.
 #[derive(Clone, Debug, Default)]
 pub struct IncarnationHistory {
     known: VecDeque<KnownIncarnation>,
 }
 
 impl IncarnationHistory {
-    /// Takes in a word and tells how it stands: by birth first, then by its place among the words
-    /// of that start.
+    /// Records a message and returns how it relates to earlier ones: by start time first, then by
+    /// its sequence number.
     pub fn receive(
         &mut self,
         now: time::NodeTime,
-        word: &event::TargetIncarnation,
+        message: &event::TargetIncarnation,
     ) -> AnnouncementStatus {
-        let Some(known) = self.find(&word.id) else {
-            self.push(KnownIncarnation::new(now, word));
+        let Some(known) = self.find(&message.id) else {
+            self.push(KnownIncarnation::new(now, message));
             return AnnouncementStatus::Newest;
         };
-        if known.follows(now, word) {
+        if known.supersedes(now, message) {
             return AnnouncementStatus::EarlierStart;
         }
-        if word.started_at_ms != known.started_at_ms {
-            *known = KnownIncarnation::new(now, word);
+        if message.started_at_ms != known.started_at_ms {
+            *known = KnownIncarnation::new(now, message);
             return AnnouncementStatus::Newest;
         }
         if known.has_ended(now) {
             return AnnouncementStatus::Ended;
         }
-        if word.sequence <= known.sequence {
+        if message.sequence <= known.sequence {
             return AnnouncementStatus::Late;
         }
-        known.sequence = word.sequence;
+        known.sequence = message.sequence;
         known.last_received = now;
         known.ended = None;
         AnnouncementStatus::Newest
     }
 
-    /// Takes in that a start is gone, by a word that may name no birth, and tells how it stands.
+    /// Records the end of an incarnation, and returns how the message relates to earlier ones.
     ///
-    /// Failure: the end of an earlier start arrives after the target is back under its id. Symptom:
-    /// the target that serves is never used again. A word that names a birth ends just that one;
-    /// one that names none binds whatever is there, but where the present start is so young that
-    /// the word may mean an earlier one, only until no late word can speak for it any more.
+    /// If the end of an earlier incarnation arrives after the target has restarted with the same
+    /// id, the serving target must not be taken out of use for good. A message with a start time
+    /// therefore ends just that incarnation. One without a start time ends the known incarnation;
+    /// if that one is so new that the message may refer to an earlier one, the end only holds for
+    /// [`MAX_ANNOUNCEMENT_DELAY`], after which no message of the earlier incarnation can arrive.
     pub fn end(
         &mut self,
         now: time::NodeTime,
-        word: &event::TargetIncarnation,
+        message: &event::TargetIncarnation,
     ) -> AnnouncementStatus {
-        let Some(known) = self.find(&word.id) else {
-            let mut ended = KnownIncarnation::new(now, word);
+        let Some(known) = self.find(&message.id) else {
+            let mut ended = KnownIncarnation::new(now, message);
             ended.ended = Some(IncarnationEnd::Certain);
             self.push(ended);
             return AnnouncementStatus::Newest;
         };
-        let unnamed = word.started_at_ms.is_none() && known.started_at_ms.is_some();
-        if !unnamed && known.follows(now, word) {
+        let undated = message.started_at_ms.is_none() && known.started_at_ms.is_some();
+        if !undated && known.supersedes(now, message) {
             return AnnouncementStatus::EarlierStart;
         }
-        if known.has_ended(now) && (unnamed || word.started_at_ms == known.started_at_ms) {
+        if known.has_ended(now) && (undated || message.started_at_ms == known.started_at_ms) {
             return AnnouncementStatus::Ended;
         }
-        let born = if unnamed {
+        let started_at_ms = if undated {
             known.started_at_ms
         } else {
-            word.started_at_ms
+            message.started_at_ms
         };
-        let unclear = unnamed && now.since(known.first_received) < MAX_ANNOUNCEMENT_DELAY;
-        known.started_at_ms = born;
-        known.ended = Some(match unclear {
-            true => IncarnationEnd::Unclear(now),
+        let uncertain = undated && now.since(known.first_received) < MAX_ANNOUNCEMENT_DELAY;
+        known.started_at_ms = started_at_ms;
+        known.ended = Some(match uncertain {
+            true => IncarnationEnd::Uncertain(now),
             false => IncarnationEnd::Certain,
         });
         AnnouncementStatus::Newest
     }
 
-    /// Remembers that a start has ended for good, since another one stands in its place.
-    pub fn supersede(&mut self, now: time::NodeTime, present: &event::TargetIncarnation) {
+    /// Records that `replaced` has ended because another incarnation took its place.
+    pub fn supersede(&mut self, now: time::NodeTime, replaced: &event::TargetIncarnation) {
         let ended = Some(IncarnationEnd::Certain);
-        match self.find(&present.id) {
-            Some(known) if known.started_at_ms == present.started_at_ms => known.ended = ended,
+        match self.find(&replaced.id) {
+            Some(known) if known.started_at_ms == replaced.started_at_ms => known.ended = ended,
             Some(_) => {}
             None => {
-                let known = KnownIncarnation::new(now, present);
+                let known = KnownIncarnation::new(now, replaced);
                 self.push(KnownIncarnation { ended, ..known });
             }
         }
--- a/crates/anvil_core/src/lib.rs
+++ b/crates/anvil_core/src/lib.rs
@@ -1,7 +1,7 @@
-//! The reducer: every event of a node in, effects as data out.
+//! The reducer of a node: it takes events and returns effects as data.
 //!
-//! Nothing in here reads a clock, opens a socket or takes a lock; a rerun of recorded events
-//! gives the same effects. See `docs/ARCHITECTURE.md`.
+//! Nothing in this crate reads a clock, opens a socket or takes a lock, so replaying recorded
+//! events gives the same effects. See `docs/ARCHITECTURE.md`.
 
 pub mod accounts;
 mod admitting;
--- a/crates/anvil_core/src/memory.rs
+++ b/crates/anvil_core/src/memory.rs
@@ -1,18 +1,18 @@
-//! What the target's node remembers of attempts that other nodes sent it.
+//! The attempts of other nodes that the target's node remembers, and their answers.
 
 use crate::{answer_cache, duplicates};
 
-/// The attempts of one kind of request: which came, and the answers that may not have arrived.
+/// The attempts of one kind of request and the answers that may not have arrived.
 #[derive(Clone, Debug)]
 pub struct AttemptRecord {
-    /// Those that came.
+    /// The attempts that arrived.
     pub received: duplicates::DuplicateFilter,
-    /// The last answers.
+    /// The latest answers.
     pub answers: answer_cache::AnswerCache,
 }
 
-/// All attempts, those that must not run again apart from the rest, so that the many lookups never drive
-/// out what protects a claim.
+/// All remembered attempts. Non-idempotent requests have a record of their own, so that the many
+/// idempotent ones never evict the entries that protect them from running twice.
 #[derive(Clone, Debug)]
 pub struct AttemptMemory {
     non_idempotent: AttemptRecord,
@@ -20,7 +20,7 @@
 }
 
 impl Default for AttemptMemory {
-    /// An empty memory with the bounds in force.
+    /// An empty memory with the default bounds.
     fn default() -> Self {
         Self {
             non_idempotent: AttemptRecord {
@@ -40,7 +40,7 @@
 }
 
 impl AttemptMemory {
-    /// The record that attempts of such requests belong to.
+    /// The record for attempts of idempotent or of non-idempotent requests.
     pub fn record_for(&mut self, idempotent: bool) -> &mut AttemptRecord {
         match idempotent {
             true => &mut self.idempotent,
--- a/crates/anvil_core/src/request_log.rs
+++ b/crates/anvil_core/src/request_log.rs
@@ -1,9 +1,9 @@
-//! What is told of single requests, and how much of it.
+//! Log records of single requests, and the budget that bounds them.
 //!
-//! Whoever looks into a failed request has logs and no more, so each end that is no success is
-//! told with what decided it. Successes are told for one lane in sixteen: the lane is the same at
-//! every hop, so a request that is told is told at all its nodes. A budget bounds both under load;
-//! what it holds back is counted and told.
+//! Logs are the only source for the analysis of a failed request, so every request that doesn't
+//! succeed is logged together with what decided its outcome. Successes are logged for one lane in
+//! sixteen: the lane is the same at every hop, so a sampled request is logged at all of its nodes.
+//! A budget bounds both under load; the number of suppressed lines is logged.
 
 use std::time::Duration;
 
@@ -11,96 +11,96 @@
 use anvil_types::{context, ident, name, time, treatment, verdict};
 use serde::{Serialize, Serializer};
 
-/// Lanes of 256 whose successes are told.
+/// Number of lanes, out of 256, whose successes are logged.
 const LOGGED_LANES: u8 = 16;
 
-/// Lines about single requests that a node writes each second; a line is some 300 bytes, so a node
-/// writes 60 kB/s at most.
+/// Most lines about single requests per second. A line takes about 300 bytes, so a node writes at
+/// most 60 kB/s.
 const MAX_LINES_PER_SECOND: u32 = 200;
 
-/// The end of a request at its entry node.
+/// How a request ended at its entry node.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct CallSummary {
-    /// The caller's own id of the request.
+    /// The id that the caller gave the request.
     pub request: Option<ident::RequestLabel>,
-    /// The root request that it serves.
+    /// The root request of the chain.
     pub root: ident::RequestId,
-    /// The service asked for.
+    /// The requested service.
     pub service: name::ServiceName,
-    /// The client account that it is sent for.
+    /// The client account of the request.
     pub account: Option<name::AccountName>,
-    /// Importance.
+    /// The priority class.
     pub class: context::PriorityClass,
-    /// Lane.
+    /// The lane.
     pub lane: context::LaneHash,
-    /// The rule that decided and its revision.
+    /// The rule that applied and its revision.
     pub rule: treatment::RuleMark,
-    /// Whether it ran, as the caller is told.
+    /// Whether the request ran, as reported to the caller.
     #[serde(serialize_with = "in_words")]
     pub verdict: verdict::CallVerdict,
-    /// Status of the target's answer, where there is one.
+    /// The status of the target's answer, if there is one.
     pub status: Option<u16>,
-    /// Attempts dispatched.
+    /// Attempts that were dispatched.
     pub attempts: u16,
-    /// Attempts that may have come to a target.
+    /// Attempts that may have reached a target.
     pub reached: u16,
-    /// Nodes that the attempts went to.
+    /// The nodes that the attempts were sent to.
     #[serde(serialize_with = "as_texts")]
     pub nodes: Vec<ident::NodeId>,
     /// The limit that refused the last attempt.
     pub refused: Option<refusal::RefusalLimit>,
-    /// The node that the limit belongs to.
+    /// The node whose limit that was.
     #[serde(serialize_with = "as_text")]
     pub refused_by: Option<ident::NodeId>,
-    /// Time since the request came, in milliseconds.
+    /// Time since the request arrived, in milliseconds.
     pub took_ms: u64,
-    /// Time left of what the caller and the rule allow, in milliseconds.
+    /// Time left until the deadline set by the caller and the rule, in milliseconds.
     pub left_ms: u64,
-    /// When the caller is told to come back, in milliseconds.
+    /// The time after which the caller should retry, in milliseconds.
     pub retry_after_ms: Option<u64>,
 }
 
-/// The end of a run, or of the wait for one, at the target's node.
+/// How a request ended at the target's node, running or still queued.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct RunSummary {
-    /// The caller's own id of the request.
+    /// The id that the caller gave the request.
     pub request: Option<ident::RequestLabel>,
-    /// The root request that it serves.
+    /// The root request of the chain.
     pub root: ident::RequestId,
     /// The entry node.
     #[serde(serialize_with = "in_hex")]
     pub entry: ident::NodeId,
-    /// The attempt of the entry node.
+    /// The number of the attempt at the entry node.
     pub attempt: u16,
-    /// The start of the target, where it names its starts.
+    /// The incarnation of the target, if it announces incarnations.
     pub incarnation: Option<ident::IncarnationId>,
-    /// Whether it ran.
+    /// Whether the request ran.
     #[serde(serialize_with = "in_words")]
     pub verdict: verdict::CallVerdict,
-    /// Status of the target's answer, where there is one.
+    /// The status of the target's answer, if there is one.
     pub status: Option<u16>,
-    /// Time in the queue, in milliseconds; all of it where the request was never started.
+    /// Time in the queue, in milliseconds; the whole time if the run never started.
     pub queued_ms: u64,
-    /// Time at the target, in milliseconds; none where it never started.
+    /// Time at the target, in milliseconds; none if the run never started.
     pub ran_ms: Option<u64>,
-    /// Requests running at the target at the end.
+    /// Requests that were running at the target when this one ended.
     pub running: u32,
-    /// Requests that waited at the end.
+    /// Requests that were queued when this one ended.
     pub queued: usize,
 }
 
 /// A step of a call whose idempotency key is guarded.
 ///
-/// Nothing else tells, after a key has run twice, which grant, call, attempt and process each run had;
-/// so these are written for every such call, and not for one lane in sixteen.
+/// If a key ever runs twice, only these records show which grant, call, attempt and process each
+/// run belonged to. They are therefore written for every such call instead of being sampled.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct KeyedRecord {
-    /// The root request that it serves.
+    /// The root request of the chain.
     pub root: ident::RequestId,
-    /// The key.
+    /// The idempotency key.
     #[serde(serialize_with = "in_hex")]
     pub key: ident::RequestKey,
-    /// The call that wants to run it.
+    /// The call that holds or requests the key.
     #[serde(serialize_with = "in_hex")]
     pub call: ident::CallId,
     /// The step.
@@ -108,38 +108,38 @@
     pub step: KeyedStep,
 }
 
-/// What happened to a keyed call.
+/// The steps of a call with a guarded idempotency key.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(tag = "step", rename_all = "kebab-case")]
 pub enum KeyedStep {
-    /// Its entry node asked the owner of the key.
+    /// The entry node requested the key from its owner.
     Asked,
     /// The owner granted the key to this call.
     Granted,
-    /// An attempt went out.
+    /// The entry node sent an attempt.
     Sent {
-        /// Which attempt.
+        /// The number of the attempt.
         attempt: u16,
-        /// The node that it went to.
+        /// The node that it was sent to.
         #[serde(serialize_with = "in_hex")]
         to: ident::NodeId,
     },
-    /// The target's node handed it to the target.
+    /// The target's node handed the request to the target.
     Started {
-        /// Which attempt.
+        /// The number of the attempt.
         attempt: u16,
-        /// The run, as the parent token names it.
+        /// The id of the run, as in the parent token.
         run: u64,
     },
-    /// It ended at its entry node, which told the owner so.
+    /// The call ended at its entry node, which reported that to the owner.
     Settled {
-        /// Whether it ran.
+        /// Whether the call ran.
         #[serde(serialize_with = "in_words")]
         verdict: verdict::CallVerdict,
     },
 }
 
-/// Identities of nodes as text: they are wider than the numbers that readers of JSON keep whole.
+/// Serializes an id as text, because JSON readers lose precision on integers of this width.
 fn in_hex<T, S>(id: &T, serializer: S) -> Result<S::Ok, S::Error>
 where
     T: std::fmt::Display,
@@ -180,7 +180,7 @@
     }
 }
 
-/// Whether the end of a request is worth a line, by how it ended and by its lane.
+/// Whether the end of a request is logged: always unless it succeeded, otherwise by its lane.
 pub fn is_logged(
     verdict: verdict::CallVerdict,
     status: Option<u16>,
@@ -191,12 +191,12 @@
     !success || lane.0 < LOGGED_LANES
 }
 
-/// Whole milliseconds of a span.
+/// A duration in whole milliseconds.
 pub fn millis(span: Duration) -> u64 {
     u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Bounds the lines about single requests, second by second.
+/// Limits the lines about single requests in each second.
 #[derive(Clone, Debug, Default)]
 pub struct LogBudget {
     second: u64,
@@ -204,20 +204,20 @@
     suppressed: u64,
 }
 
-/// What becomes of one line.
+/// Whether one line may be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogGrant {
-    /// Write it, after a line that tells how many were held back before, where any were.
+    /// The line may be written, after a line with the number of suppressed ones if there are any.
     Write {
-        /// Lines held back since the last one written.
+        /// Lines suppressed since the last written one.
         suppressed: u64,
     },
-    /// Hold it back.
+    /// The line is suppressed and counted.
     Suppress,
 }
 
 impl LogBudget {
-    /// Asks for one line.
+    /// Takes one line out of the budget of the current second.
     pub fn take(&mut self, now: time::NodeTime) -> LogGrant {
         let second = now.0 / 1_000_000;
         if second != self.second {
--- a/crates/anvil_core/src/rulebook.rs
+++ b/crates/anvil_core/src/rulebook.rs
@@ -10,20 +10,20 @@
     revision: ident::RuleRevision,
     document: document::RuleDocument,
     matcher: matcher::RuleMatcher,
-    /// Which account holds a key; none where requests need no key.
+    /// The accounts by key; none if requests need no key.
     keys: Option<account::KeyIndex>,
 }
 
-/// What the rules decide for a request.
+/// The decision of the rules for a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BookDecision<'a> {
     /// The treatment.
     pub treatment: treatment::RuleTreatment,
-    /// The rule that decided, and the revision.
+    /// The rule that applied, and the revision.
     pub rule: treatment::RuleMark,
-    /// Where the rule sends the request; none where the caller names the service.
+    /// The destination that the rule sets; none if the caller's choice of service applies.
     pub send_to: Option<&'a destination::RuleDestination>,
-    /// The rule's name; none where the built-in default decided.
+    /// The rule's name; none if the built-in default applied.
     pub name: Option<&'a name::RuleName>,
 }
 
@@ -38,7 +38,7 @@
         &self.document
     }
 
-    /// Which account holds a key; none where requests need no key.
+    /// The accounts by key; none if requests need no key.
     pub fn keys(&self) -> Option<&account::KeyIndex> {
         self.keys.as_ref()
     }
@@ -52,10 +52,10 @@
         })
     }
 
-    /// Puts a document in force where its revision is higher; tells whether it did.
+    /// Puts a document in force if its revision is higher; returns whether it did.
     ///
-    /// Rules arrive by several ways and in any order. Going back to an older revision would undo
-    /// an accepted change for as long as the newer one is not heard of again, so it never happens.
+    /// Rules arrive over several paths and in any order. Returning to an older revision would undo
+    /// an accepted change until the newer one arrives again, so older revisions are ignored.
     pub fn adopt(
         &mut self,
         revision: ident::RuleRevision,
@@ -72,10 +72,11 @@
         true
     }
 
-    /// Puts the next accepted change in force; tells whether it was the next one.
+    /// Puts the next accepted change in force; returns false if `revision` is not the next one.
     ///
-    /// Fails where the change doesn't fit, which an accepted one always does; nothing is changed
-    /// then, and the revision stays behind, so that the node asks a peer for the whole rules.
+    /// Fails if the change conflicts with the rules in force, which an accepted change never does.
+    /// In that case the rules and the revision stay as they are, and since the node is then behind
+    /// its peers, it requests the complete rules from one of them.
     pub fn adopt_change(
         &mut self,
         revision: ident::RuleRevision,
@@ -89,12 +90,12 @@
         Ok(self.adopt(revision, document))
     }
 
-    /// Why `request` is treated as it is.
+    /// Explains which rule applies to `request`.
     pub fn explain(&self, request: &call::CallRequest) -> explain::RuleExplanation {
         explain::explain(&self.matcher, &view::RequestView::of(request))
     }
 
-    /// The treatment of `request` and the rule that decided.
+    /// The treatment of `request` and the rule that applies.
     pub fn decide(&self, request: &call::CallRequest) -> BookDecision<'_> {
         let decision = self.matcher.decide(&view::RequestView::of(request));
         BookDecision {
--- a/crates/anvil_core/src/stop_notices.rs
+++ b/crates/anvil_core/src/stop_notices.rs
@@ -1,5 +1,5 @@
-//! Notices of a planned stop: every member hears that this node takes no more runs; see "When a connection
-//! ends" in `docs/design/edges.md`.
+//! Notices of a planned stop, which inform every member that this node accepts no more runs; see
+//! "When a connection ends" in `docs/design/edges.md`.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,12 +9,12 @@
 
 use crate::{reducer, timers};
 
-/// Time after which a member that has not answered is told of the stop again; datagrams are lost now and
-/// then.
+/// The time after which the notice to a member that has not acknowledged it is repeated, because
+/// datagrams may be lost.
 const NOTICE_INTERVAL: Duration = Duration::from_millis(200);
 
 impl reducer::NodeReducer {
-    /// Tells the members that have not heard of the stop yet.
+    /// Notifies the members that have not acknowledged the stop yet.
     pub(crate) fn send_notices(&mut self) {
         let unacknowledged = self.shutdown.unacknowledged(self.now);
         if unacknowledged.is_empty() {
@@ -26,22 +26,22 @@
             let sent = self.fleet.message_with_claim(to, kind);
             self.apply_fleet_effects(vec![sent]);
         }
-        let again = self.now + NOTICE_INTERVAL;
-        self.timers.set(again, timers::TimerKind::StopNotice);
+        let next_notice = self.now + NOTICE_INTERVAL;
+        self.timers.set(next_notice, timers::TimerKind::StopNotice);
     }
 
-    /// Takes a word of a planned stop: of another node's, or an answer to one of this node's.
+    /// Handles a notice of another node's planned stop, or the acknowledgement of this node's own.
     pub(crate) fn farewell_arrived(
         &mut self,
         from: SocketAddr,
         peer: ident::NodeId,
-        word: farewell::FarewellMessage,
+        message: farewell::FarewellMessage,
     ) {
-        match word {
+        match message {
             farewell::FarewellMessage::Stopping => {
                 let calls_out = !self.calls.in_flight_at(peer).is_empty();
-                let heard = farewell::FarewellMessage::Heard { calls_out };
-                let kind = gossip::GossipKind::Farewell(heard);
+                let acknowledgement = farewell::FarewellMessage::Heard { calls_out };
+                let kind = gossip::GossipKind::Farewell(acknowledgement);
                 let sent = self.fleet.message(from, kind);
                 self.apply_fleet_effects(vec![sent]);
             }
--- a/crates/anvil_core/src/stopping.rs
+++ b/crates/anvil_core/src/stopping.rs
@@ -1,4 +1,4 @@
-//! A planned stop: announce, refuse new work, finish what runs, leave.
+//! The planned stop of a node: announce it, refuse new requests, finish the running ones, exit.
 
 use std::time::Duration;
 
@@ -9,21 +9,21 @@
 /// How a node stops.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StopPlan {
-    /// How long a leaving node still takes callers' requests and sends them to other nodes, so that
-    /// callers which have not heard yet are served meanwhile.
+    /// How long a leaving node still accepts callers' requests and sends them to other nodes, which
+    /// serves callers that don't know yet that it is leaving.
     pub linger: Duration,
-    /// How long it still takes runs for its target.
+    /// How long a leaving node still accepts runs for its target.
     ///
-    /// A target whose node restarts works on, so each moment without runs is lost capacity; the
-    /// nodes that send them hear of the leaving only then, and follow a refusal at no cost.
+    /// A target keeps working while its node restarts, so any time without runs is lost capacity.
+    /// Other nodes are informed only after this time; a refusal costs them no retry.
     pub run_linger: Duration,
-    /// When it gives up what is still out, so that callers hear so before whoever stops the process
-    /// kills it; none where nobody does.
+    /// When a leaving node gives up the requests in progress, so that callers get a reply before
+    /// the supervisor kills the process; none if nothing kills it.
     pub limit: Option<Duration>,
 }
 
 impl Default for StopPlan {
-    /// A second, in which other nodes hear of the leaving, and no limit.
+    /// One second in which other nodes learn that this one is leaving, and no limit.
     fn default() -> Self {
         Self {
             linger: Duration::from_secs(1),
@@ -33,19 +33,19 @@
     }
 }
 
-/// Where a node stands in its life.
+/// The lifecycle phase of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum NodePhase {
-    /// It takes work.
+    /// It accepts requests and runs.
     Serving,
-    /// It says that it leaves.
+    /// It has been asked to stop.
     Leaving {
-        /// When it takes no more work for its target.
+        /// When it stops accepting runs for its target.
         runs_until: time::NodeTime,
-        /// When callers are refused too.
+        /// When it stops accepting callers' requests.
         callers_until: time::NodeTime,
     },
-    /// It has told its process to end.
+    /// It has requested the exit of its process.
     Gone,
 }
 
@@ -68,16 +68,17 @@
 
     pub(crate) fn stop_requested(&mut self) {
         let running = self.calls.len() + self.runs.running() as usize;
-        let again = self.phase != NodePhase::Serving;
-        // Failure: whoever stops the process asks twice, as stops of one machine and of a whole zone
-        // overlap. Symptom: requests in progress are cut seconds before their answers. A limit says that
-        // somebody ends the process in time anyway, so there the second request changes nothing.
-        let forced = again && self.stop.limit.is_none();
+        let repeated = self.phase != NodePhase::Serving;
+        // A stop may be requested twice without the intent to force it, for example if the stops of
+        // a machine and of its whole zone overlap. A forced stop would abort requests seconds before
+        // their answers. If a limit is set, the process ends in time anyway, so a second request
+        // has no effect.
+        let forced = repeated && self.stop.limit.is_none();
         self.report(effect::StateChange::Stopping { forced, running });
         if forced {
             self.stop_by_force();
         }
-        if again {
+        if repeated {
             return;
         }
         let callers_until = self.now + self.stop.linger;
@@ -98,7 +99,7 @@
         self.leave_keys();
     }
 
-    /// Leaves once the last request is answered and callers had time to hear of it.
+    /// Exits once the last request is answered and callers had time to learn of the stop.
     pub(crate) fn leave_if_done(&mut self) {
         let NodePhase::Leaving { callers_until, .. } = self.phase else {
             return;
@@ -114,20 +115,21 @@
         }
     }
 
-    /// Whether no node that called lately may still wait for this one; asks them where that is open.
+    /// Whether no recent caller still waits for an answer; begins the handshake with them if that
+    /// has not happened.
     fn callers_confirmed(&mut self) -> bool {
         if self.shutdown.has_begun() {
             return self.shutdown.is_done(self.now);
         }
-        let (until, told) = self.shutdown.begin(self.now);
-        for (peer, to) in told {
+        let (until, callers) = self.shutdown.begin(self.now);
+        for (peer, to) in callers {
             self.send_leaving(peer, to);
         }
         self.timers.set(until, timers::TimerKind::Leave);
         self.shutdown.is_done(self.now)
     }
 
-    /// Tells the fleet that this node takes no more runs.
+    /// Notifies the fleet that this node accepts no more runs.
     pub(crate) fn stop_runs(&mut self) {
         if matches!(self.phase, NodePhase::Leaving { .. }) {
             self.publish_target();
@@ -147,33 +149,34 @@
         if self.phase == NodePhase::Gone {
             return;
         }
-        // Ending a run starts the next queued one; a node that is gone starts none, so what was
-        // queued stays proved not run.
+        // Ending a run starts the next queued one. In this phase no run is started, so the queued
+        // ones can be reported as not run.
         self.phase = NodePhase::Gone;
-        let left: Vec<(u64, runs::RunStage)> =
+        let remaining: Vec<(u64, runs::RunStage)> =
             self.runs.iter().map(|(id, run)| (*id, run.stage)).collect();
-        for (id, stage) in left {
-            let out = stage == runs::RunStage::Running;
-            self.finish_run(event::RunId(id), stopped(out), None);
+        for (id, stage) in remaining {
+            let in_flight = stage == runs::RunStage::Running;
+            self.finish_run(event::RunId(id), verdict_when_stopped(in_flight), None);
         }
-        // The answers of this node's own runs tell its own callers more than the calls know.
+        // If a run was for a call of this node, its answer is more precise than the state of the
+        // call, so it is delivered first.
         self.deliver_loopback();
         let open: Vec<u64> = self.calls.iter().map(|(sequence, _)| *sequence).collect();
         for sequence in open {
-            let out = self
+            let in_flight = self
                 .calls
                 .get(sequence)
                 .is_some_and(|call| matches!(call.stage, calls::CallStage::Out { .. }));
             self.cancel_attempt(sequence);
-            self.end_call(sequence, stopped(out), None);
+            self.end_call(sequence, verdict_when_stopped(in_flight), None);
         }
         self.leave_fleet();
         self.effects.push(effect::NodeEffect::Exit);
     }
 }
 
-fn stopped(out: bool) -> verdict::CallVerdict {
-    if out {
+fn verdict_when_stopped(in_flight: bool) -> verdict::CallVerdict {
+    if in_flight {
         verdict::CallVerdict::MayHaveRun(verdict::DoubtReason::Stopped)
     } else {
         verdict::CallVerdict::NotRun(verdict::RefusalReason::Leaving)
--- a/crates/anvil_core/src/target.rs
+++ b/crates/anvil_core/src/target.rs
@@ -1,4 +1,4 @@
-//! What the local target says of itself, and what the fleet hears of it.
+//! The announcements of the local target, and what the fleet is told about it.
 
 use anvil_types::{ident, name};
 
@@ -7,33 +7,32 @@
 impl reducer::NodeReducer {
     pub(crate) fn target_announced(&mut self, announcement: event::TargetAnnouncement) {
         if self.is_unexpected_service(&announcement.service) {
-            if let Some(word) = &announcement.incarnation {
-                self.ignore_announcement(word, incarnations::AnnouncementStatus::UnknownService);
+            if let Some(message) = &announcement.incarnation {
+                self.ignore_announcement(message, incarnations::AnnouncementStatus::UnknownService);
             }
             return;
         }
-        if let Some(word) = &announcement.incarnation {
-            let standing = self.incarnations.receive(self.now, word);
-            if standing != incarnations::AnnouncementStatus::Newest {
-                self.ignore_announcement(word, standing);
+        if let Some(message) = &announcement.incarnation {
+            let status = self.incarnations.receive(self.now, message);
+            if status != incarnations::AnnouncementStatus::Newest {
+                self.ignore_announcement(message, status);
                 return;
             }
         }
         self.adopt_target(announcement);
     }
 
-    /// Whether a target of `service` can't be the one beside this node.
+    /// Whether a target of `service` can't be the local target.
     ///
-    /// Failure: another program announces itself at the node under a service that nobody knows.
-    /// Symptom: it takes the place of the target, whose requests are refused until its next
-    /// heartbeat. A service that a rule sends requests to is taken, since an address may come to
-    /// serve another one.
+    /// Otherwise another program that announces an unknown service at this node would replace the
+    /// target, whose requests would be refused until its next heartbeat. A service that a rule
+    /// sends requests to is accepted, because the local target may change to that service.
     fn is_unexpected_service(&self, service: &name::ServiceName) -> bool {
         let home = self.expected_service.as_ref();
         home.is_some_and(|home| home != service) && !self.book.names_service(service)
     }
 
-    /// Takes the announcement as that of the local target.
+    /// Makes the announced target the local target.
     fn adopt_target(&mut self, announcement: event::TargetAnnouncement) {
         let until = self.now + announcement.lease;
         let known = self.target.as_ref().is_some_and(|target| {
@@ -68,19 +67,19 @@
         self.publish_target();
     }
 
-    /// Ends the runs at an earlier start of a target that is back under its id.
+    /// Cancels the runs of the previous incarnation if the target has restarted with the same id.
     ///
-    /// Failure: a target loses power and starts again, and the connections to its former life stay
-    /// silent. Symptom: their callers wait for their whole deadline for answers that nobody can
-    /// give. Only the same id proves that the former start is gone; a new id may be a late word.
+    /// After a power loss the connections to the previous incarnation stay silent, and callers would
+    /// wait until their deadline for answers that never come. Only a reused id proves that the
+    /// previous incarnation has ended; an announcement with another id may be a late one.
     fn cancel_previous_runs(&mut self, announcement: &event::TargetAnnouncement) {
-        let back = self.previous_target.as_ref().is_some_and(|former| {
+        let restarted = self.previous_target.as_ref().is_some_and(|former| {
             let id = former.announcement.incarnation_id();
             id.is_some()
                 && id == announcement.incarnation_id()
                 && !former.announcement.is_same_incarnation(announcement)
         });
-        if !back {
+        if !restarted {
             return;
         }
         for run in self.runs.mark_running_lost() {
@@ -91,53 +90,58 @@
     pub(crate) fn target_leaving(&mut self) {
         if let Some(target) = &mut self.target {
             target.leaving = true;
-            let reason = "it said that it leaves".to_owned();
+            let reason = "left, expired or replaced".to_owned();
             self.report(effect::StateChange::TargetGone { reason });
             self.publish_target();
             self.drain_admission();
         }
     }
 
-    /// Takes in that one start of the target leaves, or is gone for good.
-    pub(crate) fn target_withdrawn(&mut self, word: &event::TargetIncarnation, terminated: bool) {
-        let standing = match terminated {
-            true => self.incarnations.end(self.now, word),
-            false => self.incarnations.receive(self.now, word),
+    /// Handles the message that one incarnation of the target is leaving or has terminated.
+    pub(crate) fn target_withdrawn(
+        &mut self,
+        message: &event::TargetIncarnation,
+        terminated: bool,
+    ) {
+        let status = match terminated {
+            true => self.incarnations.end(self.now, message),
+            false => self.incarnations.receive(self.now, message),
         };
-        match standing {
-            // A leaving binds whatever came before it, also where a later word was first.
+        match status {
+            // An incarnation that is leaving doesn't return, so the message also counts if a later
+            // one of the same incarnation overtook it.
             incarnations::AnnouncementStatus::Newest | incarnations::AnnouncementStatus::Late => {
-                if self.is_current(word) {
+                if self.is_current(message) {
                     self.target_leaving();
                 }
             }
             incarnations::AnnouncementStatus::EarlierStart
             | incarnations::AnnouncementStatus::Ended
             | incarnations::AnnouncementStatus::UnknownService => {
-                self.ignore_announcement(word, standing);
+                self.ignore_announcement(message, status);
             }
         }
     }
 
     fn ignore_announcement(
         &mut self,
-        word: &event::TargetIncarnation,
-        standing: incarnations::AnnouncementStatus,
+        message: &event::TargetIncarnation,
+        status: incarnations::AnnouncementStatus,
     ) {
         self.counters.words_ignored += 1;
         self.report(effect::StateChange::AnnouncementIgnored {
-            incarnation: word.id.clone(),
-            started_at_ms: word.started_at_ms,
-            sequence: word.sequence,
-            status: standing,
+            incarnation: message.id.clone(),
+            started_at_ms: message.started_at_ms,
+            sequence: message.sequence,
+            status,
         });
     }
 
-    /// Takes in that another start of a target answered at the address.
+    /// Handles a run that was answered by another incarnation of the target at the same address.
     ///
-    /// Failure: a late word of a start that crashed arrives after its successor registered, and the
-    /// node takes it for the present one. Symptom: every request is turned away until the
-    /// successor's next word. The refusal itself tells who is there, so the node goes back to it.
+    /// A late announcement of a crashed incarnation may arrive after its successor registered and
+    /// replace it here. The successor would then refuse every request until its next announcement.
+    /// The refusal contains the id of the incarnation that is there, so the node returns to it.
     pub(crate) fn target_misdirected(&mut self, holder: Option<&ident::IncarnationId>) {
         let Some(target) = &self.target else {
             return;
@@ -159,11 +163,11 @@
         }
     }
 
-    /// Whether the local target goes by the id of `word`. A word of a later start under that id is
-    /// meant as well: where that one leaves, nothing of the former one is there any more.
-    fn is_current(&self, word: &event::TargetIncarnation) -> bool {
+    /// Whether the local target has the id of `message`. The start time may differ: if a later
+    /// incarnation with the id is leaving, the known one has ended as well.
+    fn is_current(&self, message: &event::TargetIncarnation) -> bool {
         let target = self.target.as_ref();
-        target.is_some_and(|target| target.announcement.incarnation_id() == Some(&word.id))
+        target.is_some_and(|target| target.announcement.incarnation_id() == Some(&message.id))
     }
 
     pub(crate) fn target_lease_expired(&mut self) {
@@ -176,10 +180,10 @@
         }
     }
 
-    /// Tells the directory, and through it the fleet, what the local target offers.
+    /// Publishes what the local target offers to the fleet and to the directory of this node.
     ///
-    /// A node that can't take runs yet names no target, so that none is sent to it in vain; it
-    /// does so as soon as it can.
+    /// A node that is not ready for runs doesn't publish its target, so no run is sent to it only
+    /// to be refused; the target is published as soon as the node is ready.
     pub(crate) fn publish_target(&mut self) {
         if !self.fleet.is_ready() {
             return;
--- a/crates/anvil_core/src/timers.rs
+++ b/crates/anvil_core/src/timers.rs
@@ -1,4 +1,4 @@
-//! When the reducer wants to be woken.
+//! Timers of the reducer.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -12,44 +12,44 @@
     CallDeadline(u64),
     /// The pause before the next attempt of an open call is over.
     CallRetry(u64),
-    /// The node of an open call's attempt should have said what became of it.
+    /// The query for the outcome of an open call's attempt times out.
     OutcomeQuery(u64),
     /// The deadline of a run at the local target.
     RunDeadline(u64),
-    /// A request has waited long enough in the queue of the local target.
+    /// The admission queue of the local target has something to decide.
     Admission,
-    /// The local target's announcement lapses.
+    /// The lease of the local target's announcement expires.
     TargetLease,
-    /// The node may leave.
+    /// A stopping node may be ready to exit.
     Leave,
-    /// A stopping node takes no more runs.
+    /// A stopping node stops accepting runs.
     StopRuns,
-    /// A stopping node tells those members once more that have not heard of it.
+    /// A stopping node repeats its notice to members that have not acknowledged it.
     StopNotice,
-    /// A stopping node gives up what is still out.
+    /// A stopping node gives up the requests that are still in progress.
     StopLimit,
 }
 
-/// Timers in order of their time.
+/// Pending timers, ordered by time.
 ///
-/// A timer is never taken back: whoever set it checks, when it fires, whether it still matters.
+/// Timers are never cancelled; the handler of a timer checks whether it is still relevant.
 #[derive(Clone, Debug, Default)]
 pub struct TimerQueue {
     heap: BinaryHeap<Reverse<(time::NodeTime, TimerKind)>>,
 }
 
 impl TimerQueue {
-    /// Asks for `kind` at `when`.
+    /// Schedules a timer of `kind` at `when`.
     pub fn set(&mut self, when: time::NodeTime, kind: TimerKind) {
         self.heap.push(Reverse((when, kind)));
     }
 
-    /// The earliest time asked for.
+    /// The time of the earliest timer.
     pub fn next(&self) -> Option<time::NodeTime> {
         self.heap.peek().map(|Reverse((when, _))| *when)
     }
 
-    /// Takes the earliest timer whose time has come.
+    /// Removes and returns the earliest timer if it is due.
     pub fn pop(&mut self, now: time::NodeTime) -> Option<TimerKind> {
         if self.next()? > now {
             return None;
--- a/crates/anvil_core/src/waits.rs
+++ b/crates/anvil_core/src/waits.rs
@@ -1,4 +1,4 @@
-//! How long a run waited for calls of its own; see `docs/design/admission.md`.
+//! The time that a run waits for its own calls; see `docs/design/admission.md`.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 
 /// The calls that the local target made on behalf of one run.
 ///
-/// Calls made at the same time overlap, so the time in which at least one was open counts once.
+/// Concurrent calls overlap: the time in which at least one call is open counts once.
 #[derive(Clone, Debug, Default)]
 pub struct CallWaits {
     open: u32,
@@ -18,7 +18,7 @@
 }
 
 impl CallWaits {
-    /// Notes that `call` begins.
+    /// Records the start of `call`.
     pub fn begin(&mut self, now: time::NodeTime, call: dependency::NeededCall) {
         if self.open == 0 {
             self.since = now;
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Notes that one of the open calls ended, and whether it `failed` its run.
+    /// Records the end of one of the open calls, and whether its failure makes the run fail.
     pub fn end(&mut self, now: time::NodeTime, failed: bool) {
         self.failed |= failed;
         self.open = self.open.saturating_sub(1);
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Time waited up to `now`.
+    /// The time waited until `now`.
     pub fn total(&self, now: time::NodeTime) -> Duration {
         let current = if self.open > 0 {
             now.since(self.since)
@@ -53,7 +53,7 @@
         self.failed
     }
 
-    /// The calls made, each once.
+    /// The distinct calls made.
     pub fn called(&self) -> &[dependency::NeededCall] {
         &self.called
     }
