--- a/crates/anvil_core/src/accounts.rs
+++ b/crates/anvil_core/src/accounts.rs
@@ -1,4 +1,4 @@
-//! Client accounts inside the reducer: whose request it is, and whether the account's quota has room;
+//! Client accounts: which account a request belongs to, and whether its quota admits the request;
 //! see `docs/design/accounts.md`.
 
 use std::net::SocketAddr;
@@ -14,27 +14,27 @@
 
 use crate::{calls, effect, entry, event, reducer};
 
-/// Names this part in log lines.
+/// The name of this part in log lines.
 const PART: &str = "quota";
 
-/// Accounts shown in a dump.
+/// Most accounts that are listed in a dump.
 const MAX_DUMP_ACCOUNTS: usize = 256;
 
-/// On whose behalf a call is made.
+/// The account on whose behalf a call is made.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum CallerIdentity {
-    /// Nobody has to be named: no accounts are in force, or the route is public.
+    /// None is required: no accounts are in force, or the route is public.
     Anonymous,
-    /// An account whose key the caller sent.
+    /// The account whose key the caller sent.
     Account(Arc<table::AccountRecord>),
-    /// That of the request which the local target runs and calls for.
+    /// The account of the run on whose behalf the local target calls.
     Inherited(Option<name::AccountName>),
-    /// Nobody that may call.
+    /// The caller is not allowed to call.
     Refused(verdict::RefusalReason),
 }
 
 impl CallerIdentity {
-    /// The account, where one is known.
+    /// The account, if one is known.
     pub(crate) fn account(&self) -> Option<&name::AccountName> {
         match self {
             Self::Account(record) => Some(&record.name),
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The importance of the account's requests, where it has one of its own.
+    /// The priority class of the account's requests, if the account sets one.
     pub(crate) fn class(&self) -> Option<context::PriorityClass> {
         match self {
             Self::Account(record) => record.class,
@@ -52,14 +52,14 @@
     }
 }
 
-/// What an open call holds of its account.
+/// The account of an open call, and its use of the account's quota.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CallAccount {
-    /// The account, where one is known.
+    /// The account, if one is known.
     pub name: Option<name::AccountName>,
-    /// The key that the caller sent; checked again before each attempt.
+    /// The key that the caller sent; it is checked again before each attempt.
     pub(crate) credential: account::CallerCredential,
-    /// Why the caller may not call at all.
+    /// Why the caller is not allowed to call, if that is so.
     pub(crate) refusal: Option<verdict::RefusalReason>,
     /// Whether a token of the account's quota was taken for the call.
     pub(crate) holds_token: bool,
@@ -92,7 +92,7 @@
 }
 
 impl reducer::NodeReducer {
-    /// On whose behalf a call is made.
+    /// Determines the account on whose behalf a call is made.
     pub(crate) fn identify_caller(
         &self,
         hints: &event::CallerHints,
@@ -117,10 +117,10 @@
         }
     }
 
-    /// Whether the key of a waiting call was taken away since it was checked.
+    /// Whether the key of a waiting call was revoked since it was checked.
     ///
-    /// Failure: an operator takes a key away while requests that bear it wait for a retry. Symptom: they
-    /// run seconds later for an account that no longer lets them in.
+    /// Without this check, requests that wait for a retry while an operator revokes their key would
+    /// still run seconds later.
     pub(crate) fn is_key_revoked(&self, sequence: u64) -> bool {
         let Some(open) = self.calls.get(sequence) else {
             return false;
@@ -138,7 +138,8 @@
         holder != open.account.name.as_ref()
     }
 
-    /// Takes a token of the quota for a call; false where it waits for one or was refused.
+    /// Takes a token of the quota for a call; returns false if the call has to wait for one or was
+    /// refused.
     pub(crate) fn take_token(&mut self, sequence: u64) -> bool {
         let Some(account) = self.metered_account(sequence) else {
             return true;
@@ -161,10 +162,10 @@
         }
     }
 
-    /// Gives back the token of a call that did not run, or stops waiting for one.
+    /// Returns the token of a call that did not run, or stops waiting for one.
     ///
-    /// A request that is refused for want of room has used nothing, and its caller comes back: without
-    /// its token the account would pay twice for one request.
+    /// A request that was refused for lack of capacity has used nothing, and its caller will retry.
+    /// If the token were not returned, the account would pay twice for one request.
     pub(crate) fn settle_token(
         &mut self,
         sequence: u64,
@@ -181,7 +182,7 @@
         }
     }
 
-    /// Follows a change of the accounts in force.
+    /// Passes a change of the accounts in force on to the quotas.
     pub(crate) fn accounts_changed(&mut self) {
         let accounts = self.book.document().accounts();
         let accounts = accounts.map_or(&[][..], |table| table.accounts());
@@ -194,7 +195,7 @@
         self.apply_quota_effects(effects);
     }
 
-    /// Takes a message about quotas from another node.
+    /// Handles a message about quotas from another node.
     pub(crate) fn quota_arrived(
         &mut self,
         from: SocketAddr,
@@ -215,13 +216,13 @@
         }
     }
 
-    /// Tells homes what was let in by this event.
+    /// Reports to the home nodes which requests were admitted during this event.
     pub(crate) fn flush_quota(&mut self) {
         let effects = self.quota.flush(self.now);
         self.apply_quota_effects(effects);
     }
 
-    /// What this node knows of the accounts' quotas.
+    /// The accounts and the state of their quotas at this node, for the dump.
     pub(crate) fn accounts_dump(&self) -> serde_json::Value {
         let Some(accounts) = self.book.document().accounts() else {
             return serde_json::Value::Null;
@@ -264,7 +265,7 @@
         }
     }
 
-    /// Writes a line about a change in who counts an account.
+    /// Logs a change of the home node that counts an account's requests.
     fn report_home_change(&mut self, change: quota::HomeChange) {
         let text = match change {
             quota::HomeChange::Left { account, home } => {
@@ -283,7 +284,7 @@
         self.report(effect::StateChange::Part { part: PART, text });
     }
 
-    /// The name of an account as operators know it, or its number where the rules have changed since.
+    /// The name of an account, or its id in hex if the rules in force don't contain it any more.
     fn account_name(&self, id: account::AccountId) -> String {
         let accounts = self.book.document().accounts();
         let mut records = accounts.into_iter().flat_map(|table| table.accounts());
@@ -334,11 +335,11 @@
     }
 }
 
-/// Why a caller without a known key may not call.
+/// The reason to refuse a caller without a known key.
 ///
-/// Targets send no key on their own calls. A call that names a run which this node doesn't know was
-/// made for a request of an earlier process, most likely: to say that the key is unknown would end it
-/// for good, and nobody knows whose it is.
+/// Targets send no key on their own calls. A call that refers to an unknown run was most likely made
+/// for a request that the previous process of this node accepted. Its account can't be determined,
+/// and a refusal as unauthenticated would be final, so the caller gets a reason that allows a retry.
 fn refusal_without_key(hints: &event::CallerHints) -> verdict::RefusalReason {
     let keyless = hints.credential == account::CallerCredential::None;
     match keyless && hints.parent_label.is_some() {
--- a/crates/anvil_core/src/admitting.rs
+++ b/crates/anvil_core/src/admitting.rs
@@ -1,4 +1,4 @@
-//! The reducer's side of the queue in front of the local target.
+//! Connects the reducer with the admission queue of the local target.
 
 use anvil_overload::{admission, kind, limit, policy, quarantine, rank, refusal};
 use anvil_types::{ident, verdict};
@@ -7,14 +7,14 @@
 use crate::{effect, event, overload, reducer, retrying, runs, stopping, timers};
 
 impl reducer::NodeReducer {
-    /// Why this node refuses a call at once, before it is queued.
+    /// Why this node refuses a call before it is queued.
     pub(crate) fn refusal_at_target(
         &self,
         call: &call::PeerCall,
     ) -> Option<overload::RefusalCause> {
         let by = self.config.node;
         let cause = |reason, limit| Some(overload::RefusalCause { reason, limit, by });
-        // A replaced instance may offer another service at the address the caller's node knew.
+        // An instance that replaced another one may offer another service at the same address.
         let offered = self.target.as_ref().filter(|target| {
             !target.leaving && target.announcement.service == call.request.service
         });
@@ -24,9 +24,9 @@
                 refusal::RefusalLimit::Leaving,
             );
         }
-        // Failure: a fresh node takes a run before it has compared its rules. Symptom: the calls
-        // that the run makes come back to this node, are refused, and the run has failed. The
-        // caller's node sends it elsewhere at no cost.
+        // If a node accepted a run before it has compared its rules with its peers, it would refuse
+        // the calls that the run makes, and the run would fail. The entry node sends the refused
+        // call elsewhere without spending a retry.
         if !self.fleet.is_ready() {
             return cause(
                 verdict::RefusalReason::RulesUnknown,
@@ -42,8 +42,8 @@
         if let Some(limit) = self.quarantine_of(call.context.print) {
             return cause(verdict::RefusalReason::Quarantined, limit);
         }
-        // Failure: a request starts here whose next service will refuse it. Symptom: the run is
-        // wasted. The line of a service that most runs need is refused on its behalf.
+        // A run is wasted if a service that it needs refuses its call. The cut lines of services
+        // that most runs of this kind call are therefore already applied here.
         let deep = self.downstream_line(kind::CallKind::of(&call.request));
         if !rank::admits(deep.as_ref(), &rank::CallRank::of(&call.context)) {
             return cause(
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Hands an accepted run to the queue.
+    /// Offers an accepted run to the queue.
     pub(crate) fn offer_run(&mut self, id: event::RunId) {
         let now = self.now;
         let Some(run) = self.runs.get(id) else {
@@ -107,7 +107,8 @@
         }
     }
 
-    /// Frees the slot or the place of a run that ended, and starts what comes next.
+    /// Frees the slot or the queue place of a run that ended, and returns what the queue decides
+    /// next.
     pub(crate) fn release_run(
         &mut self,
         id: event::RunId,
@@ -134,7 +135,8 @@
         admission.finish(now, id.0, sample)
     }
 
-    /// Follows an announcement: a new queue for a new target, a new ramp for one that crashed.
+    /// Updates the queue after an announcement: a new target gets a new queue, and a target that
+    /// crashed starts its cold ramp again.
     pub(crate) fn update_admission(&mut self, slots: u32, renewed: bool) {
         let warm = self
             .target
@@ -163,7 +165,7 @@
         self.apply_decisions(decisions);
     }
 
-    /// Refuses what waits for a target that leaves, so that it runs elsewhere in time.
+    /// Refuses the queued runs of a target that is leaving, so that they can run elsewhere in time.
     pub(crate) fn drain_admission(&mut self) {
         if let Some(admission) = &mut self.overload.admission {
             let decisions = admission.leave();
@@ -171,7 +173,7 @@
         }
     }
 
-    /// Notes at the quarantine how a run ended, and tells the peers of a crash.
+    /// Reports the outcome of a run to the quarantine, and notifies the peers of a crash.
     pub(crate) fn record_run_outcome(&mut self, id: event::RunId, outcome: &event::RunOutcome) {
         let now = self.now;
         let Some(service) = self.runs.get(id).map(|run| run.service.clone()) else {
@@ -282,7 +284,7 @@
 
 fn run_end(run: &runs::TargetRun, verdict: verdict::CallVerdict, status: u16) -> limit::RunEnd {
     match verdict {
-        // How fast a target fails says nothing about how fast it works.
+        // The latency of a failure says nothing about the latency of successful runs.
         verdict::CallVerdict::Answered if status >= retrying::SERVER_ERROR => limit::RunEnd::Failed,
         verdict::CallVerdict::Answered => limit::RunEnd::Whole,
         verdict::CallVerdict::NotRun(verdict::RefusalReason::TargetRefused) => {
--- a/crates/anvil_core/src/answer.rs
+++ b/crates/anvil_core/src/answer.rs
@@ -1,31 +1,31 @@
-//! What an operator is told.
+//! Answers to operators.
 
 use anvil_rules::{change, document, render};
 use anvil_types::ident;
 use derive_more::{Display, Error};
 use serde::Serialize;
 
-/// The answer to a question that was carried out.
+/// The answer to a request that was carried out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OperatorAnswer {
-    /// What was asked for.
+    /// The requested information.
     pub body: AnswerBody,
-    /// The revision in force when the question was answered.
+    /// The revision in force when the request was answered.
     pub revision: ident::RuleRevision,
 }
 
-/// What an operator asked for.
+/// The information that an operator requested.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AnswerBody {
     /// JSON.
     Json(String),
-    /// The rules in force. Whoever answers writes their text, because that takes 4 ms for a
-    /// thousand rules, in which the reducer would decide nothing.
+    /// The rules in force. They are rendered outside of the reducer, because that takes 4 ms for a
+    /// thousand rules, during which the reducer would process no events.
     Rules(document::RuleDocument),
 }
 
 impl OperatorAnswer {
-    /// JSON, or YAML where the rules were asked for.
+    /// The answer as text: YAML for the rules, JSON for everything else.
     pub fn text(self) -> String {
         match self.body {
             AnswerBody::Json(text) => text,
@@ -34,19 +34,19 @@
     }
 }
 
-/// Why a question was not carried out.
+/// Why a request was not carried out.
 ///
-/// Only [`OperatorRefusal::Unknown`] leaves open whether a change took effect.
+/// Only with [`OperatorRefusal::Unknown`] it is uncertain whether a change took effect.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error)]
 pub enum OperatorRefusal {
-    /// The rules were changed since the operator read them; nothing was changed by this change.
+    /// The rules were changed since the operator read them, so this change was not made.
     #[display("the rules were changed since revision {base}")]
     Conflict {
-        /// The revision that the operator saw.
+        /// The revision that the operator edited.
         base: ident::RuleRevision,
         /// The revision in force.
         revision: ident::RuleRevision,
-        /// The other operators' changes, as far as this node holds them, oldest first.
+        /// The changes made since then, as far as this node retains them, oldest first.
         #[error(not(source))]
         others: Vec<ChangeSummary>,
     },
@@ -57,7 +57,7 @@
         #[error(not(source))]
         reason: String,
     },
-    /// Nobody can tell yet whether the change was made.
+    /// It is not known yet whether the change was made.
     #[display("unknown: {reason}")]
     Unknown {
         /// Why, and what to do.
@@ -66,21 +66,21 @@
     },
 }
 
-/// One accepted change, as operators see it.
+/// A summary of one accepted change for operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct ChangeSummary {
-    /// The revision that it made.
+    /// The revision that the change created.
     pub revision: ident::RuleRevision,
-    /// The operator's id of it, in hex.
+    /// The id that the operator gave the change, in hex.
     pub change: String,
-    /// Who made it.
+    /// Who made the change.
     pub author: String,
-    /// What it did, a line for each step.
+    /// The edits, one line each.
     pub edits: Vec<String>,
 }
 
 impl ChangeSummary {
-    /// Describes a change that made `revision`.
+    /// Summarizes the change that created `revision`.
     pub fn of(revision: ident::RuleRevision, change: &change::RuleChange) -> Self {
         Self {
             revision,
--- a/crates/anvil_core/src/applying.rs
+++ b/crates/anvil_core/src/applying.rs
@@ -1,4 +1,4 @@
-//! An operator's rules on their way to becoming a change.
+//! Applies an operator's rules as a change of the rules in force.
 
 use anvil_membership::effect::SnapshotUse;
 use anvil_membership::proposal::ProposalEnd;
@@ -10,26 +10,26 @@
 
 use crate::{answer, effect, event, reducer};
 
-/// Names this part in log lines.
+/// The name of this part in log lines.
 const PART: &str = "rules";
 
-/// Largest encoded change, in bytes; the store's limit less what stands around it in the log.
+/// Largest encoded change, in bytes: the limit of the store without the envelope of a log entry.
 const MAX_CHANGE_BYTES: usize = store::VALUE_LIMIT - 1_024;
 
-/// What an operator asked for.
+/// The change that an operator requested.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct RequestedChange {
-    /// The rules as they shall be.
+    /// The complete new rules.
     pub(crate) rules: document::RuleDocument,
-    /// The operator's own id of the change.
+    /// The id that the operator gave the change.
     pub(crate) change: u128,
-    /// Who made it.
+    /// Who made the change.
     pub(crate) author: String,
-    /// The revision the operator saw.
+    /// The revision that the operator edited.
     pub(crate) base: ident::RuleRevision,
 }
 
-/// An operator that waits for its change to come into the store's log.
+/// An operator's change that has not been accepted into the store's log yet.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct OpenApply {
     handle: event::OperatorHandle,
@@ -38,14 +38,14 @@
 }
 
 impl reducer::NodeReducer {
-    /// Makes a change of the rules asked for, or tells what stands against it.
+    /// Proposes the change that leads to the requested rules, or answers why that is not possible.
     pub(crate) fn apply_requested(
         &mut self,
         handle: event::OperatorHandle,
         asked: &RequestedChange,
     ) {
-        // An apply whose answer was lost is asked again under its id; it must not be refused as a
-        // conflict with itself.
+        // If the answer to an apply was lost, the operator repeats it with the same id; it must not
+        // be refused as a conflict with itself.
         if let Some(revision) = self.accepted_revision(asked.change) {
             return self.answer_operator(handle, Ok(accepted(revision)));
         }
@@ -60,11 +60,10 @@
         }
     }
 
-    /// The change that the rules asked for make to those in force.
+    /// The difference between the requested rules and those in force.
     ///
-    /// A base that isn't the newest revision is refused even where the edits would fit: the
-    /// operator decided without having seen the other change, and its rules come before or after
-    /// those that were changed.
+    /// A base that isn't the newest revision is refused even if the edits would apply: the operator
+    /// decided without knowing the other change, and the order of the rules matters.
     fn prepare_change(
         &self,
         asked: &RequestedChange,
@@ -85,7 +84,7 @@
         })
     }
 
-    /// Writes a change to the store and spreads it; see `docs/design/rule-distribution.md`.
+    /// Writes a change to the store and distributes it; see `docs/design/rule-distribution.md`.
     fn propose_change(&mut self, handle: event::OperatorHandle, change: &change::RuleChange) {
         let body = match codec::encode_change(change) {
             Ok(body) if body.len() <= MAX_CHANGE_BYTES => Bytes::from(body),
@@ -109,7 +108,7 @@
         }
     }
 
-    /// Tells the operator how its change ended.
+    /// Answers the operator whose change was accepted or failed.
     pub(crate) fn change_ended(
         &mut self,
         change: u128,
@@ -152,7 +151,7 @@
         self.report_adoption(logged.revision, adopted);
     }
 
-    /// Puts the whole rules in force where they are newer.
+    /// Puts the complete rules of a snapshot in force if they are newer.
     pub(crate) fn adopt_snapshot(&mut self, snapshot: &gossip::LoggedChange) {
         let adopted = match codec::decode_document(&snapshot.body) {
             Ok(document) => Ok(self.book.adopt(snapshot.revision, document)),
@@ -171,7 +170,7 @@
         }
     }
 
-    /// The accepted changes that this node holds, newest last.
+    /// The accepted changes that this node retains, newest last.
     pub(crate) fn history(&self) -> serde_json::Value {
         let changes = self.changes_since(ident::RuleRevision::default());
         json!({ "revision": self.book.revision(), "changes": changes })
--- a/crates/anvil_core/src/calls.rs
+++ b/crates/anvil_core/src/calls.rs
@@ -1,4 +1,4 @@
-//! Calls that this node has accepted from callers and not yet replied to.
+//! Open calls: calls that this node has accepted from callers and not yet replied to.
 
 use std::net::SocketAddr;
 
@@ -8,48 +8,48 @@
 
 use crate::{accounts, event};
 
-/// Where an open call stands.
+/// What an open call waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallStage {
-    /// The current attempt is out at a node.
+    /// The answer to the current attempt, which was sent to a node.
     Out {
         /// The node.
         peer: ident::NodeId,
         /// Where it accepts connections, for a cancellation.
         address: SocketAddr,
     },
-    /// The next attempt waits for its pause to end.
+    /// The end of the pause before the next attempt.
     Pausing,
-    /// The owner of the call's idempotency key has not decided.
+    /// The decision of the owner of the call's idempotency key.
     Asking,
-    /// The home of the call's client account has not decided.
+    /// The decision of the home node of the call's client account.
     Metering,
 }
 
-/// One call that waits for its end.
+/// One call that has no reply yet.
 #[derive(Clone, Debug)]
 pub struct OpenCall {
     /// Where the reply goes.
     pub handle: event::CallerHandle,
-    /// The request, kept for further attempts.
+    /// The request, retained for further attempts.
     pub request: call::CallRequest,
-    /// The caller's own id of the request.
+    /// The id that the caller gave the request.
     pub label: Option<ident::RequestLabel>,
-    /// The client account that it is made for, and what it holds of its quota.
+    /// The client account of the call, and whether it holds a token of the account's quota.
     pub account: accounts::CallAccount,
     /// The kind of the request.
     pub kind: kind::CallKind,
-    /// The context, of which the deadline is kept apart.
+    /// The context; the deadline is stored separately.
     pub context: context::CallContext,
     /// Retries that the call may still spend or lend to its attempts.
     pub allowance: allowance::ChainAllowance,
-    /// Whether the call holds the allowance of its root request at this node.
+    /// Whether the call has drawn the allowance of its root request at this node.
     pub holds_root: bool,
     /// The limit that refused the last attempt, and the node that it belongs to.
     pub refused: Option<(refusal::RefusalLimit, ident::NodeId)>,
-    /// What the rules decided.
+    /// The treatment by the rules.
     pub treatment: treatment::RuleTreatment,
-    /// Which rule decided.
+    /// The rule that applied.
     pub rule: treatment::RuleMark,
     /// When the call arrived.
     pub arrived: time::NodeTime,
@@ -57,7 +57,7 @@
     pub deadline: time::NodeTime,
     /// Attempts dispatched so far.
     pub attempts: u16,
-    /// Attempts that may have come to a target.
+    /// Attempts that may have reached a target.
     pub reached: u16,
     /// Attempts that may have run at a target.
     pub possible_runs: u16,
@@ -65,33 +65,33 @@
     pub redirects: u8,
     /// Nodes that refused or failed an attempt.
     pub tried: Vec<ident::NodeId>,
-    /// Why an attempt may have run, where one ended so.
+    /// Why an attempt may have run, if the outcome of one is uncertain.
     pub uncertainty: Option<verdict::DoubtReason>,
-    /// Where the call stands.
+    /// What the call waits for.
     pub stage: CallStage,
-    /// The run of the local target that made the call, where one did.
+    /// The run of the local target that made the call, if there is one.
     pub parent: Option<event::RunId>,
     /// When the current attempt was sent.
     pub sent_at: time::NodeTime,
-    /// The question about the fate of the current attempt that is not answered yet.
+    /// The unanswered query for the outcome of the current attempt.
     pub outcome_query: Option<OutcomeQuery>,
 }
 
-/// A question to the node of an attempt, whose connection ended.
+/// A query for the outcome of an attempt whose connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OutcomeQuery {
-    /// When it was asked first.
+    /// When the query was first sent.
     pub since: time::NodeTime,
-    /// Times that it was asked.
+    /// How often the query was sent.
     pub tries: u8,
 }
 
 impl OpenCall {
-    /// What the call's end says of all its attempts.
+    /// The verdict on the call as a whole, given the verdict on its last attempt.
     ///
-    /// Failure: one attempt may have run, and a later one is refused as not run. Symptom: the
-    /// caller is told "not run" and files its claim anew, a second time. The doubt of any attempt
-    /// outlasts the refusal of a later one, so "not run" is told only where it holds for all.
+    /// If an earlier attempt may have run and a later one was refused, a caller that is told "not
+    /// run" would send its request again and have it run twice. The uncertainty of any attempt
+    /// therefore takes precedence, and "not run" is only reported if it holds for all attempts.
     pub fn final_verdict(&self, last: verdict::CallVerdict) -> verdict::CallVerdict {
         match (last, self.uncertainty) {
             (verdict::CallVerdict::NotRun(_), Some(doubt)) => {
@@ -101,12 +101,12 @@
         }
     }
 
-    /// Where the request stands among others.
+    /// The rank of the request among others.
     pub fn rank(&self) -> rank::CallRank {
         rank::CallRank::of(&self.context)
     }
 
-    /// What routing is asked for the next attempt.
+    /// The routing query for the next attempt.
     pub fn route_query(&self) -> routing::RouteQuery<'_> {
         routing::RouteQuery {
             service: &self.request.service,
@@ -117,26 +117,26 @@
         }
     }
 
-    /// The key without whose grant the call must not run.
+    /// The idempotency key that must be granted before the call may run.
     pub fn guarded_key(&self) -> Option<ident::RequestKey> {
         self.context.key.filter(|_| !self.treatment.idempotent)
     }
 
-    /// Whether a further attempt would exceed the targets that the rule allows for the call.
+    /// Whether the call has used up the attempts that its rule allows.
     ///
-    /// An attempt that was refused, by a node or by the target itself, ran nowhere.
+    /// An attempt that was refused by a node or by the target doesn't count, because it didn't run.
     pub fn attempts_exhausted(&self) -> bool {
         self.possible_runs >= self.treatment.attempts
     }
 
-    /// Whether the current attempt is out at `node`.
+    /// Whether the current attempt is in flight at `node`.
     pub fn is_in_flight_at(&self, node: ident::NodeId) -> bool {
         matches!(self.stage, CallStage::Out { peer, .. } if peer == node)
     }
 }
 
-/// Bytes of a frame beside the body: a packed call takes 115 to 150, of which the headers and the
-/// treatment mostly refer to frames before it.
+/// Bytes of a frame without the body. A packed call takes 115 to 150 bytes, because its headers and
+/// treatment are mostly references to earlier frames.
 const FRAME_OVERHEAD_BYTES: u32 = 130;
 
 /// Bytes that a request or an answer with `body` takes between two nodes.
@@ -146,7 +146,7 @@
         .saturating_add(FRAME_OVERHEAD_BYTES)
 }
 
-/// Open calls by the sequence of their id.
+/// Open calls by the sequence number of their id.
 #[derive(Clone, Debug, Default)]
 pub struct CallTable {
     open: sorted::SortedTable<u64, Box<OpenCall>>,
@@ -154,18 +154,18 @@
 }
 
 impl CallTable {
-    /// Mints the sequence of a new call's id.
+    /// Allocates the sequence number for the id of a new call.
     pub fn allocate_sequence(&mut self) -> u64 {
         self.last_sequence += 1;
         self.last_sequence
     }
 
-    /// Keeps an open call.
+    /// Adds an open call.
     pub fn open(&mut self, sequence: u64, call: Box<OpenCall>) {
         self.open.insert(sequence, call);
     }
 
-    /// Takes a call out, to end it.
+    /// Removes a call that ends.
     pub fn close(&mut self, sequence: u64) -> Option<Box<OpenCall>> {
         self.open.remove(sequence)
     }
@@ -175,7 +175,7 @@
         self.open.get(sequence).map(|call| &**call)
     }
 
-    /// An open call, to be changed.
+    /// Mutable access to an open call.
     pub fn get_mut(&mut self, sequence: u64) -> Option<&mut OpenCall> {
         self.open.get_mut(sequence).map(|call| &mut **call)
     }
@@ -187,7 +187,7 @@
         found.map(|(sequence, _)| *sequence)
     }
 
-    /// The calls whose current attempt is out at `peer`.
+    /// The calls whose current attempt is in flight at `peer`.
     pub fn in_flight_at(&self, peer: ident::NodeId) -> Vec<u64> {
         self.open.keys_where(|call| call.is_in_flight_at(peer))
     }
--- a/crates/anvil_core/src/contexts.rs
+++ b/crates/anvil_core/src/contexts.rs
@@ -1,4 +1,4 @@
-//! The context that a call carries down its chain: set at the root, narrowed at each hop.
+//! The context that a call passes down its chain: created at the root and restricted at each hop.
 
 use anvil_overload::{dependency, kind};
 use anvil_types::{context, ident, treatment};
@@ -36,8 +36,8 @@
         }
     }
 
-    /// The context of a call that the local target makes on behalf of `run`; none where that run
-    /// has ended.
+    /// The context of a call that the local target makes on behalf of `run`; none if that run has
+    /// ended.
     pub(crate) fn child_context(
         &mut self,
         run: event::RunId,
@@ -48,8 +48,8 @@
     ) -> Option<context::CallContext> {
         let now = self.now;
         let parent = self.runs.get_mut(run)?;
-        // The grant leaves the parent's allowance until the child's answer brings back what it
-        // did not spend; so parallel children can't spend the same retry twice.
+        // The retries are taken out of the parent's allowance until the child's answer returns the
+        // unspent ones, so parallel children can't spend the same retry twice.
         let granted = parent
             .allowance
             .lend_child(sequence, treatment.chain_retries);
--- a/crates/anvil_core/src/entry.rs
+++ b/crates/anvil_core/src/entry.rs
@@ -1,4 +1,4 @@
-//! The entry node's side of a call: from its caller's request to the one reply.
+//! The entry node's side of a call: from the caller's request to the reply.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,11 +10,12 @@
 
 use crate::{accounts, calls, effect, event, reducer, request_log, rulebook, settling, timers};
 
-/// Part of the objective, in percent, for which a request waits for a target of its service to come.
-/// Runs take a quarter of their objective or so, and the way there and back some milliseconds.
+/// The percentage of the latency objective for which a request waits for a target of its service to
+/// appear. Runs take about a quarter of the objective, and the round trip some milliseconds.
 const TARGET_WAIT_PERCENT: u32 = 40;
 
-/// Time between two looks for a target; a tenth of the shortest objective of the users' routes.
+/// The interval at which a waiting request checks for a target; a tenth of the shortest objective of
+/// the users' routes.
 const TARGET_POLL_INTERVAL: Duration = Duration::from_millis(30);
 
 impl reducer::NodeReducer {
@@ -42,7 +43,8 @@
         let sequence = self.calls.allocate_sequence();
         let identity = self.identify_caller(hints, &treatment, parent);
         let by_rule = identity.class().map(|class| {
-            // The account's importance goes first, what the rule says of the request next.
+            // The class of the account takes precedence; the class of the rule ranks the requests
+            // within it.
             std::mem::replace(&mut treatment.class, class)
         });
         if let Some(waiting) = parent.and_then(|run| self.runs.get(run)) {
@@ -101,14 +103,14 @@
         }
     }
 
-    /// Begins with the attempts of a call that nothing refuses.
+    /// Starts the attempts of an accepted call, after the grant of its key if it needs one.
     pub(crate) fn begin_attempts(&mut self, sequence: u64) {
         if !self.request_key(sequence) {
             self.dispatch_attempt(sequence);
         }
     }
 
-    /// The service of a request that a rule sends to one of several.
+    /// Picks the service of a request for which a rule sets the destination.
     fn pick_service(&mut self, send_to: &destination::RuleDestination) -> name::ServiceName {
         let draw = match send_to {
             destination::RuleDestination::Service(_) => 0,
@@ -117,7 +119,8 @@
         send_to.pick(draw).cloned().unwrap_or_default()
     }
 
-    /// The run of the local target that a call serves: proved by its token, or told by its id.
+    /// The run on whose behalf the local target makes a call, identified by the parent token or by
+    /// the id of the call.
     fn parent_of(&self, hints: &event::CallerHints) -> Option<event::RunId> {
         let chained = self.overload.policy.cancellation;
         if let Some(event::ParentToken(run)) = hints.parent {
@@ -126,11 +129,11 @@
         self.runs.find_by_label(hints.parent_label.as_ref()?)
     }
 
-    /// Leaves a request to its turn on its connection.
+    /// Defers a pipelined non-idempotent request until the requests before it are answered.
     ///
-    /// Failure: a claim stands behind a lookup whose answer closes the connection; begun early, it
-    /// runs, while its caller takes it as not read and sends it again. Symptom: the claim has run
-    /// twice. It comes again when the lookup is answered, so this is no refusal that counts.
+    /// If the answer to an earlier request closes the connection, the caller takes the pipelined one
+    /// as not read and sends it again; had it been started early, it would run twice. The edge
+    /// offers it again when its turn comes, so this is not counted as a refusal.
     fn defer_pipelined(&mut self, handle: event::CallerHandle, hints: &event::CallerHints) {
         let verdict = not_run(verdict::RefusalReason::OutOfTurn);
         let reply = effect::CallerReply::without_answer(hints.label.clone(), verdict, None);
@@ -140,7 +143,7 @@
         });
     }
 
-    /// Sends the next attempt of an open call, or ends the call where that can't be done.
+    /// Sends the next attempt of an open call, or ends the call if that is not possible.
     pub(crate) fn dispatch_attempt(&mut self, sequence: u64) {
         let Some(open) = self.calls.get(sequence) else {
             return;
@@ -184,11 +187,12 @@
         }
     }
 
-    /// Whether a call may wait for a target of its service to come.
+    /// Whether a call may wait for a target of its service to appear.
     ///
-    /// Failure: all processes were killed, and each target's next heartbeat is a second away.
-    /// Symptom: every request of that second is refused and comes back when its objective is over.
-    /// A part of the objective is spent on waiting, so that what is served then is still in time.
+    /// After all processes were killed, each target may only be known at its next heartbeat, a
+    /// second later. Requests refused in that second would be retried after their objective has
+    /// passed. A call therefore waits for a part of its objective, so that it can still be served in
+    /// time.
     fn may_wait_for_target(&self, sequence: u64) -> bool {
         let Some(open) = self.calls.get(sequence) else {
             return false;
@@ -260,8 +264,8 @@
 
     pub(crate) fn peer_answered(&mut self, peer: ident::NodeId, answer: call::PeerAnswer) {
         let sequence = answer.call.sequence;
-        // An answer late by an attempt, repeated, or sent to another incarnation of this node would
-        // reach the wrong caller.
+        // An answer to an earlier attempt, a duplicate, or an answer to another incarnation of this
+        // node must not reach the caller.
         if !self.is_awaiting(peer, answer.attempt_id()) {
             self.counters.answers_stale += 1;
             return;
@@ -294,9 +298,9 @@
         let Some(sequence) = self.calls.find_by_caller(handle) else {
             return;
         };
-        // The caller will send the request again under its key. Cutting the first copy short
-        // would leave it in doubt for ever; its answer, kept by the owner, is what the second
-        // copy is told.
+        // The caller will send the request again with the same key. If this copy were cancelled, its
+        // outcome would stay uncertain; instead it finishes, and the owner of the key answers the
+        // second copy with the recorded answer.
         let kept = self.calls.get(sequence).is_some_and(|open| {
             let out = matches!(open.stage, calls::CallStage::Out { .. });
             out && self.guards_keys() && open.guarded_key().is_some()
@@ -306,7 +310,7 @@
         }
     }
 
-    /// Ends a call that nobody waits for, and the work below it.
+    /// Ends a call that nobody waits for, and cancels its attempt.
     pub(crate) fn abandon_call(&mut self, sequence: u64) {
         self.cancel_attempt(sequence);
         let verdict = verdict::CallVerdict::MayHaveRun(verdict::DoubtReason::Cancelled);
@@ -338,15 +342,16 @@
         }
     }
 
-    /// Whether a call of this node is still out at `peer` with this attempt: node, call, attempt and
-    /// sender must all agree.
+    /// Whether this attempt is the current one of a call of this node and in flight at `peer`: node,
+    /// call, attempt and peer must all match.
     pub(crate) fn is_awaiting(&self, peer: ident::NodeId, id: fate::AttemptId) -> bool {
         let open = self.calls.get(id.call.sequence);
         id.call.node == self.config.node
             && open.is_some_and(|open| open.attempts == id.attempt && open.is_in_flight_at(peer))
     }
 
-    /// Ends what was out at a node whose process is gone, and what it had asked for.
+    /// Ends the calls in flight at a node whose process has ended, and cancels the runs that it
+    /// requested.
     pub(crate) fn peer_lost(&mut self, peer: ident::NodeId) {
         let lost = self.calls.in_flight_at(peer);
         self.end_lost_calls(peer, &lost);
@@ -354,7 +359,7 @@
         self.key_unreachable(peer);
     }
 
-    /// Ends attempts whose node is gone, or says nothing of them.
+    /// Ends the attempts of calls whose node has ended or doesn't answer.
     pub(crate) fn end_lost_calls(&mut self, peer: ident::NodeId, lost: &[u64]) {
         self.suspect_lost_requests(peer, lost);
         for sequence in lost {
@@ -372,7 +377,8 @@
                     self.outcome_message_unsent(peer, *message);
                     continue;
                 }
-                // An answer is kept and asked for; the rest is sent again by those who need it.
+                // Answers are cached and will be queried; all other messages are repeated by their
+                // senders if necessary.
                 _ => continue,
             };
             let sequence = call.call.sequence;
@@ -384,7 +390,7 @@
         self.key_unreachable(peer);
     }
 
-    /// Replies and forgets the call; its unspent allowance goes back to the parent run.
+    /// Replies to the caller and closes the call; its unspent retries return to the parent run.
     pub(crate) fn end_call(
         &mut self,
         sequence: u64,
@@ -456,12 +462,12 @@
     }
 }
 
-/// Lets a call wait in queues for as long as the request that it serves.
+/// Lets a call wait in queues for as long as its parent request may wait.
 ///
-/// Failure: a claim calls a lookup whose rule allows a short wait, and the lookup is refused while
-/// the claim could still wait. Symptom: claims fail behind a slow service although they come
-/// first, and the work done for them so far is lost. The lookup keeps its own rule in all else;
-/// its class and deadline are those of the claim already, so its wait stays bounded by them.
+/// If a high-priority request calls a service whose rule only allows a short wait, the call would be
+/// refused while its parent could still wait. The parent would fail behind a slow service in spite
+/// of its priority, and its work so far would be lost. Everything else follows the call's own rule.
+/// Its class and deadline are those of the parent, which bounds the wait.
 fn inherit_queue_wait(own: &mut treatment::RuleTreatment, parent: &treatment::RuleTreatment) {
     own.queue_wait = own.queue_wait.max(parent.queue_wait);
 }
--- a/crates/anvil_core/src/fleet.rs
+++ b/crates/anvil_core/src/fleet.rs
@@ -1,5 +1,5 @@
-//! Membership inside the reducer: what the fleet tells feeds the directory, what the target and
-//! the operators say goes out to the fleet.
+//! Connects membership with the rest of the reducer: changes of members update the directory, and
+//! announcements of the target and changes by operators are sent to the fleet.
 
 use std::net::SocketAddr;
 
@@ -12,13 +12,13 @@
 use crate::config::NodeConfig;
 use crate::{directory, effect, keys, reducer};
 
-/// Members named one by one in the dump; beyond it only their number is told.
+/// Most members that are listed in the dump; beyond that only their number is reported.
 const MAX_DUMP_MEMBERS: usize = 1_000;
 
-/// Names this part in log lines.
+/// The name of this part in log lines.
 const PART: &str = "fleet";
 
-/// The membership of a node with these settings; `seed` feeds its random choices.
+/// The membership state of a node with these settings; `seed` initializes its random choices.
 pub(crate) fn membership(node: &NodeConfig, seed: u64) -> fleet::FleetState {
     let config = config::FleetConfig {
         seeds: node.seeds.clone(),
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Tells the fleet what the local target offers, and whether it or the node is leaving.
+    /// Announces to the fleet what the local target offers, and whether it or the node is leaving.
     pub(crate) fn announce_local(&mut self) {
         let leaving = self.refuses_runs();
         if leaving {
@@ -80,7 +80,7 @@
         self.apply_fleet_effects(effects);
     }
 
-    /// Tells the fleet that this node is gone.
+    /// Announces to the fleet that this node has left.
     pub(crate) fn leave_fleet(&mut self) {
         let effects = self.fleet.leave(self.now);
         self.apply_fleet_effects(effects);
@@ -132,7 +132,7 @@
                 revision,
                 end,
             } => self.change_ended(change, revision, &end),
-            // The entry side asks before each request.
+            // The entry side checks readiness for each request; only the target is published here.
             FleetEffect::Ready => self.publish_target(),
             FleetEffect::Report(report) => {
                 if matches!(report, FleetReport::Paused { .. }) {
@@ -175,7 +175,8 @@
         }
     }
 
-    /// Forgets a member, and finds out what became of the calls out at one that is believed to have crashed.
+    /// Removes a member, and queries the outcome of the calls in flight at one that is presumed to
+    /// have crashed.
     fn member_departed(&mut self, node: ident::NodeId, reason: GoneReason) {
         self.directory.remove(node);
         self.remove_key_peer(node);
@@ -191,7 +192,7 @@
         }
     }
 
-    /// The fleet as this node sees it, in short.
+    /// A summary of the fleet as observed by this node.
     pub(crate) fn fleet_status(&self) -> serde_json::Value {
         let suspects = self.fleet.suspicions().iter().map(|s| {
             let accusers: Vec<_> = s.accusers.iter().map(ident::NodeId::to_string).collect();
@@ -215,14 +216,14 @@
         })
     }
 
-    /// The other members that are alive, and where they accept datagrams.
+    /// The other live members with their datagram addresses.
     pub(crate) fn fleet_peers(&self) -> Vec<(ident::NodeId, SocketAddr)> {
         let members = self.fleet.table().all().iter();
         let live = members.filter(|m| m.state.is_live() && m.node != self.config.node);
         live.map(|m| (m.node, m.facts.udp)).collect()
     }
 
-    /// The members that this node knows, one by one.
+    /// The known members, up to a limit.
     pub(crate) fn fleet_members(&self) -> Vec<serde_json::Value> {
         let members = self.fleet.table().all().iter().take(MAX_DUMP_MEMBERS);
         let members = members.map(|m| {
--- a/crates/anvil_core/src/keys.rs
+++ b/crates/anvil_core/src/keys.rs
@@ -1,5 +1,5 @@
-//! Idempotency keys inside the reducer: a call that has one waits for its grant before any
-//! attempt; see `docs/design/at-most-once.md`.
+//! Idempotency keys: a call with a key waits for the grant of the key before its first attempt; see
+//! `docs/design/at-most-once.md`.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,44 +12,46 @@
 
 use crate::{calls, config, effect, reducer, request_log};
 
-/// Longest wait for an owner of a key.
+/// Longest wait for the decision of a key's owner.
 ///
-/// It covers the detection of a crashed owner and the takeover, so that most callers never hear
-/// of either; one that waited longer is told to come back.
+/// It covers the detection of a crashed owner and the takeover of its keys, so most callers don't
+/// notice them. After a longer wait the caller is asked to retry.
 const MAX_KEY_WAIT: Duration = Duration::from_secs(8);
 
-/// How long a stopping node waits for other nodes to take its slots.
+/// How long a stopping node waits for other nodes to take over its slots.
 ///
-/// A hand-over takes two answers of the store and one copy, some ten milliseconds; longer means
-/// that the store is out, and then the backups take over once it is back.
+/// A handover takes two store requests and one copy, about ten milliseconds. If it takes longer,
+/// the store is unavailable, and the backups take over once it is back.
 pub(crate) const HANDOVER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// When a caller whose key is running does well to ask for its answer.
+/// When a caller should retry if another call with the same key is running.
 pub(crate) const IN_PROGRESS_RETRY: Duration = Duration::from_secs(1);
 
-/// Senders remembered that membership has not told of; more are nodes that come and go, whose
-/// questions are repeated once membership has told of them.
+/// Most senders that are remembered before membership has announced them. Requests of further
+/// ones succeed when they are repeated after the announcement.
 const MAX_UNKNOWN_PEERS: usize = 1_024;
 
-/// Names this part in log lines.
+/// The name of this part in log lines.
 const PART: &str = "keys";
 
-/// What this node knows of one that may own keys.
+/// Another node that may own keys.
 #[derive(Clone, Debug)]
 pub(crate) struct KeyPeer {
     pub(crate) address: SocketAddr,
     pub(crate) zone: name::ZoneName,
     pub(crate) leaving: bool,
-    /// Whether membership suspects it.
+    /// Whether membership suspects that it has crashed.
     pub(crate) suspected: bool,
-    /// Whether a connection to it broke, and nothing came from it since.
+    /// Whether a connection to it broke and nothing was received from it since.
     pub(crate) connection_broken: bool,
 }
 
 impl KeyPeer {
-    /// A node that is suspected and whose connection broke is taken for gone before membership
-    /// has confirmed it: the process has ended, most likely. A mistake costs two questions to the
-    /// store for each slot and no record, and halves the wait after most crashes.
+    /// The health of the node for the key owner.
+    ///
+    /// A suspected node whose connection broke counts as missing before membership has confirmed
+    /// the crash, because its process has most likely ended. That halves the wait after most
+    /// crashes. A mistake costs two store requests per slot and loses no records.
     fn health(&self) -> peers::PeerHealth {
         match (self.suspected && self.connection_broken, self.leaving) {
             (true, _) => peers::PeerHealth::Missing,
@@ -59,21 +61,21 @@
     }
 }
 
-/// The key owner of a node, and where its peers are.
+/// The key owner of a node, and the addresses of its peers.
 #[derive(Debug)]
 pub(crate) struct KeyState {
     owner: owner::KeyOwner,
     peers: sorted::SortedTable<ident::NodeId, KeyPeer>,
-    /// Where nodes can be reached that asked before membership told of them.
+    /// The addresses of nodes that sent a request before membership announced them.
     unknown_peers: sorted::SortedTable<ident::NodeId, SocketAddr>,
-    /// Whether keys are guarded: only where there is a store to agree on owners.
+    /// Whether keys are guarded, which requires a store in which the nodes agree on owners.
     guarded: bool,
 }
 
 impl KeyState {
     pub(crate) fn new(config: &config::NodeConfig) -> Self {
         let start = time::NodeTime::START;
-        // Nothing is claimed ahead before there is a store to claim it in.
+        // Without a store no slots can be claimed.
         let policy = policy::KeyPolicy {
             claim_slots: 0,
             ..policy::KeyPolicy::default()
@@ -90,10 +92,10 @@
         self.owner.next_wake()
     }
 
-    /// Notes where a sender is to be answered, as long as membership has not told of it.
+    /// Remembers the address of a sender that membership has not announced yet.
     ///
-    /// Failure: an owner grants a key to a node that it has not heard of. Symptom: the grant goes
-    /// nowhere, and claims through a node that started a second ago wait until their callers give up.
+    /// Without the address an owner could not deliver a grant, and keyed requests through a node
+    /// that started a second ago would wait until their callers give up.
     fn note_sender(&mut self, node: ident::NodeId, address: SocketAddr) {
         if self.peers.get(node).is_none() && self.unknown_peers.len() < MAX_UNKNOWN_PEERS {
             self.unknown_peers.insert(node, address);
@@ -105,10 +107,10 @@
         known.or_else(|| self.unknown_peers.get(node).copied())
     }
 
-    /// Lets keys be owned by nodes that agree through the platform's store.
+    /// Enables the ownership of keys, on which the nodes agree through the platform's store.
     ///
-    /// Without it a key protects only against the retries of one entry node; a node without a
-    /// store has no way to know who else runs the same key.
+    /// Without a store a key only protects against retries of the same entry node, because the node
+    /// can't know which other nodes run the key.
     pub(crate) fn guard(&mut self, now: time::NodeTime) {
         self.guarded = true;
         self.owner.set_policy(now, policy::KeyPolicy::default());
@@ -120,7 +122,7 @@
         self.keys.guarded
     }
 
-    /// Asks for the key of a call that needs one; returns whether the call waits for it.
+    /// Requests the key of a call that needs one; returns whether the call waits for it.
     pub(crate) fn request_key(&mut self, sequence: u64) -> bool {
         let call = self.call_id(sequence);
         let Some(open) = self.calls.get_mut(sequence) else {
@@ -141,7 +143,7 @@
         true
     }
 
-    /// Tells the log of a step of an open call, where its key is guarded.
+    /// Logs a step of an open call if its key is guarded.
     pub(crate) fn log_keyed_step(&mut self, sequence: u64, step: request_log::KeyedStep) {
         let open = self.calls.get(sequence).filter(|_| self.keys.guarded);
         let Some((root, key)) =
@@ -160,7 +162,7 @@
         )));
     }
 
-    /// Tells the owner of a call's key how the call ended.
+    /// Reports the outcome of a call to the owner of its key.
     pub(crate) fn finish_key(
         &mut self,
         sequence: u64,
@@ -194,7 +196,7 @@
         self.step_keys(moment::KeyEvent::Message { from, message });
     }
 
-    /// Notes that a node was heard of by its own frame.
+    /// Records that a frame was received from a node, so its connection is not broken.
     pub(crate) fn key_peer_responded(&mut self, node: ident::NodeId) {
         if let Some(peer) = self.keys.peers.get_mut(node)
             && peer.connection_broken
@@ -213,7 +215,7 @@
         self.step_keys(moment::KeyEvent::Unreachable { node });
     }
 
-    /// Takes in a node that may own keys.
+    /// Adds or updates a node that may own keys.
     pub(crate) fn upsert_key_peer(&mut self, node: ident::NodeId, peer: KeyPeer) {
         let broken = self
             .keys
@@ -231,7 +233,7 @@
         self.update_key_peer_health(node);
     }
 
-    /// Takes in that a node is believed gone.
+    /// Removes a node that left or is presumed to have crashed.
     pub(crate) fn remove_key_peer(&mut self, node: ident::NodeId) {
         if let Some(peer) = self.keys.peers.remove(node) {
             self.set_key_peer(node, peer.zone, peers::PeerHealth::Missing);
@@ -276,7 +278,7 @@
         self.step_keys(moment::KeyEvent::Leave);
     }
 
-    /// Whether a stopping node need not stay for its keys.
+    /// Whether a stopping node has no keys left to hand over.
     pub(crate) fn keys_released(&self) -> bool {
         self.keys.owner.is_released()
     }
@@ -386,7 +388,7 @@
         }
     }
 
-    /// Reads a slot's record; one that is no record is reported and never replaced.
+    /// Reads the record of a slot; a malformed record is logged and never replaced.
     fn record(
         &mut self,
         entry: Option<store::StoreEntry>,
--- a/crates/anvil_core/src/operator.rs
+++ b/crates/anvil_core/src/operator.rs
@@ -1,4 +1,4 @@
-//! Operators' questions to one node: dump, status, counters, rules, explanation.
+//! Operators' requests to one node: dump, status, counters, rules, explanation.
 
 use anvil_overload::kind;
 use anvil_wire::call;
@@ -44,7 +44,7 @@
         self.answer_operator(handle, Ok(answer::AnswerBody::Json(json.to_string())));
     }
 
-    /// Answers with the revision in force beside what was asked for.
+    /// Sends an answer together with the revision in force.
     pub(crate) fn answer_operator(
         &mut self,
         handle: event::OperatorHandle,
@@ -80,7 +80,7 @@
         })
     }
 
-    /// The reducer's counters, those of membership by name, and those of the key owners.
+    /// The counters of the reducer, of membership, of the key owner and of the quotas.
     fn all_counters(&self) -> serde_json::Value {
         let mut counters = json!(self.counters);
         counters["keys"] = self.key_counters();
--- a/crates/anvil_core/src/outcome_queries.rs
+++ b/crates/anvil_core/src/outcome_queries.rs
@@ -1,11 +1,11 @@
-//! What becomes of calls and runs when the connection that they were on ends; see "When a connection
-//! ends" in `docs/design/edges.md`.
+//! Queries for the outcome of attempts whose connection ended; see "When a connection ends" in
+//! `docs/design/edges.md`.
 //!
-//! Failure: a connection is reset, or was silenced while nothing crossed it, and both its nodes live on.
-//! Symptom: calls on it end as "may have run" although their targets work on or have answered, their
-//! runs are cancelled, and at a node that stops the planned work has cost requests. A connection is no
-//! process: the entry node asks over a new one, to which only that process can answer, and only a
-//! process that is gone or says nothing ends the call in doubt.
+//! A connection may be reset or go silent while both nodes keep running. If that alone ended the
+//! calls in flight, they would be reported as "may have run" although their targets still work on
+//! them or have answered, their runs would be cancelled, and a planned stop would cost requests.
+//! Instead the entry node queries the outcome over a new connection, which only the same process can
+//! answer. Only if that process has ended or doesn't answer, the outcome stays uncertain.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,31 +16,33 @@
 
 use crate::{calls, duplicates, effect, entry, event, reducer, timers};
 
-/// Times that the fate of an attempt is asked for, and that a target's node tries to tell what it holds.
+/// How often the outcome of an attempt is queried, and how often a target's node tries to send the
+/// list of runs that it holds.
 ///
-/// A process that is gone refuses at once. Where nothing answers, one try takes half a second, and the
-/// first packet of a connection may be lost once, so three keep a caller in doubt for 1.5 s at most.
+/// The host of a process that has ended refuses the connection immediately. If nothing answers, one
+/// try takes half a second, and the first packet of a connection may be lost, so three tries delay
+/// the reply to a caller by at most 1.5 s.
 const MAX_TRIES: u8 = 3;
 
-/// Longest wait for the fate of a request that may run again.
+/// Longest wait for the outcome of an idempotent request.
 ///
-/// Another target can take it meanwhile, and its objective passes. A node that lives answers within a
-/// few milliseconds, a busy one within some tens more.
+/// Another target could run it instead, and its latency objective is running out. A live node
+/// answers within a few milliseconds, a busy one within some tens of milliseconds.
 const IDEMPOTENT_QUERY_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Longest wait for the fate of a request that must not run again: the time of all tries, twice.
+/// Longest wait for the outcome of a non-idempotent request: twice the time of all tries.
 ///
-/// Whoever answers relies on it: what was asked longer ago, nobody waits for.
+/// The node that answers relies on this bound: nobody waits for the answer to an older query.
 pub(crate) const QUERY_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The kind of a request that this node never saw; nothing is known of what such requests need below.
+/// The kind of a request that this node never received; such requests have no known dependencies.
 const UNKNOWN_KIND: kind::CallKind = kind::CallKind(0);
 
-/// Names this part in log lines.
+/// The name of this part in log lines.
 const PART: &str = "fates";
 
 impl reducer::NodeReducer {
-    /// A connection to `peer` ended, with calls or answers on it whose fate is unknown.
+    /// Handles the end of a connection to `peer`, which may have lost calls and answers.
     pub(crate) fn connection_lost(&mut self, peer: ident::NodeId) {
         let out = self.calls.in_flight_at(peer);
         let held = self.held_for(peer);
@@ -60,13 +62,15 @@
         self.key_unreachable(peer);
     }
 
-    /// Membership believes that `peer` has crashed.
+    /// Handles the presumption of membership that `peer` has crashed.
     ///
-    /// Failure: the datagrams of a busy node are late, and it is believed gone while its connections work
-    /// and its target is at work. Symptom: its calls end as "may have run", at a node that stops too, and
-    /// the runs that it asked for are cancelled. So belief ends only the calls whose connection was found
-    /// silent as well; the others are asked for, and so are those who asked for the runs here. An instance
-    /// that lost its power closes no connection, and answers no question either.
+    /// The datagrams of a busy node may be late, so it may be presumed crashed although its
+    /// connections and its target work. If that ended everything, the calls in flight there would be
+    /// reported as "may have run", even at a stopping node, and the runs that it requested would be
+    /// cancelled. Therefore only the calls that are already being queried end, because their
+    /// connection was silent as well. The outcome of the others is queried, and the peer is sent the
+    /// list of its runs here. An instance that lost power closes no connection, but it doesn't
+    /// answer the queries either.
     pub(crate) fn peer_presumed_crashed(&mut self, peer: ident::NodeId) {
         let out = self.calls.in_flight_at(peer);
         let is_asked = |sequence: &u64| {
@@ -81,7 +85,8 @@
         self.key_unreachable(peer);
     }
 
-    /// Tells `peer` what this node holds for it, so that it cancels what it does not wait for.
+    /// Sends `peer` the list of its runs at this node, so that it cancels those that it doesn't wait
+    /// for.
     fn announce_held_runs(&mut self, peer: ident::NodeId, held: &[(fate::AttemptId, SocketAddr)]) {
         if let Some((_, reply_to)) = held.first().copied() {
             let held: Vec<fate::AttemptId> = held.iter().map(|(id, _)| *id).collect();
@@ -105,7 +110,7 @@
         }
     }
 
-    /// No connection to `peer` came about for a message of this module.
+    /// Handles a message of this module that could not be sent to `peer`.
     pub(crate) fn outcome_message_unsent(
         &mut self,
         peer: ident::NodeId,
@@ -119,12 +124,13 @@
                 self.query_outcomes(peer, &out);
             }
             fate::FateMessage::Held { attempts, .. } => self.held_unsent(&attempts),
-            // Whoever is gone waits for nothing.
+            // A node that can't be reached waits for nothing.
             fate::FateMessage::Leaving { .. } => self.shutdown.confirm(peer),
         }
     }
 
-    /// A node is about to end: asks it for what is out there, while it can still answer.
+    /// Handles the notice that `peer` is about to exit: queries the outcome of the calls in flight
+    /// there while it can still answer.
     fn peer_leaving(&mut self, peer: ident::NodeId, to: SocketAddr) {
         let out = self.calls.in_flight_at(peer);
         if !out.is_empty() {
@@ -147,14 +153,14 @@
         self.send_frame(peer, to, frame::PeerFrame::Fate(Box::new(message)));
     }
 
-    /// Tells `peer` that this node is about to end.
+    /// Notifies `peer` that this node is about to exit.
     pub(crate) fn send_leaving(&mut self, peer: ident::NodeId, to: SocketAddr) {
         let reply_to = self.config.peer_address;
         let message = fate::FateMessage::Leaving { reply_to };
         self.send_outcome_message(peer, to, message);
     }
 
-    /// Asks the node of these calls what became of them; ends those that were asked for too often.
+    /// Queries the outcome of these calls at their node; ends those that were queried too often.
     fn query_outcomes(&mut self, peer: ident::NodeId, out: &[u64]) {
         let (reply_to, now) = (self.config.peer_address, self.now);
         let mut asked = Vec::new();
@@ -194,15 +200,16 @@
         self.give_up(peer, &lost);
     }
 
-    /// The node of an attempt should have said what became of it.
+    /// Gives up the call if the query for its outcome has timed out.
     pub(crate) fn outcome_query_expired(&mut self, sequence: u64) {
         let Some(calls::CallStage::Out { peer, .. }) =
             self.calls.get(sequence).map(|open| open.stage)
         else {
             return;
         };
-        // All that were asked for at once are given up at once, since together they tell less about any
-        // one of them than each would alone.
+        // All calls with an overdue query to the node are given up together. A loss suspects every
+        // lost request of having crashed the node, and the more requests share it, the weaker is
+        // the evidence against each.
         let now = self.now;
         let mut overdue = self.calls.in_flight_at(peer);
         overdue.retain(|sequence| {
@@ -217,7 +224,7 @@
         self.end_lost_calls(peer, lost);
     }
 
-    /// The target's node holds these attempts of calls of this node.
+    /// Handles the notice that `peer` holds runs for these attempts of this node's calls.
     fn runs_held(&mut self, peer: ident::NodeId, reply_to: SocketAddr, held: &[fate::AttemptId]) {
         for id in held {
             if self.is_awaiting(peer, *id) {
@@ -226,13 +233,13 @@
                 }
                 continue;
             }
-            // The word that nobody waits any more was lost with the connection.
+            // The cancellation of this attempt was lost with the connection.
             let (call, attempt) = (id.call, id.attempt);
             self.send_frame(peer, reply_to, frame::PeerFrame::Cancel { call, attempt });
         }
     }
 
-    /// The attempts that this node holds for `peer`, and where that one accepts connections.
+    /// The attempts for which this node holds runs of `peer`, and the address for answers.
     fn held_for(&self, peer: ident::NodeId) -> Vec<(fate::AttemptId, SocketAddr)> {
         let runs = self.runs.iter().filter(|(_, run)| run.peer == peer);
         runs.map(|(_, run)| (run.attempt_id(), run.reply_to))
@@ -248,8 +255,8 @@
         }
     }
 
-    /// An entry node could not be told what is held for it: tries again, and cancels what it asked for
-    /// once it is taken for gone, since no answer can reach it.
+    /// Repeats a notice about held runs that could not be sent. After [`MAX_TRIES`] the runs are
+    /// cancelled, because no answer can reach their entry node.
     fn held_unsent(&mut self, held: &[fate::AttemptId]) {
         let mut again = Vec::new();
         let mut to = None;
@@ -273,7 +280,7 @@
         }
     }
 
-    /// Tells an entry node what became of its attempts.
+    /// Answers a query of an entry node for the outcome of its attempts.
     fn outcomes_queried(
         &mut self,
         peer: ident::NodeId,
@@ -300,7 +307,8 @@
                 continue;
             }
             let answer = self.answer_unknown_attempt(attempt);
-            // Asked once more, the attempt would be found barred and told as "may have run".
+            // Answering also caches the answer. Without that, a repeated query would find the
+            // attempt recorded as seen and be answered with "may have run".
             self.send_answer(peer, reply_to, answer, attempt.idempotent);
         }
         self.counters.fates_held += held.len() as u64;
@@ -315,13 +323,14 @@
         }
     }
 
-    /// The answer to an attempt that this node neither has nor keeps an answer to.
+    /// The answer to a query for an attempt without a run or a cached answer.
     ///
-    /// One that never came is barred before it is told as not run: its frame may still stand unread in
-    /// the connection that ended, and would run after the request went elsewhere.
+    /// An attempt that never arrived is recorded as seen before it is reported as not run. Its frame
+    /// may still be unread in the connection that ended, and must not run after the request was sent
+    /// elsewhere.
     fn answer_unknown_attempt(&mut self, asked: &fate::AskedAttempt) -> call::PeerAnswer {
         self.counters.fates_unknown += 1;
-        // The question may have been under way for as long as anybody waits for its answer.
+        // The query may have been in transit for as long as the entry node waits for the answer.
         let age = Duration::from_micros(asked.age_micros) + QUERY_TIMEOUT;
         let sent = time::NodeTime(self.now.0.saturating_sub(entry::micros(age)));
         let came = &mut self.memory.record_for(asked.idempotent).received;
@@ -347,7 +356,7 @@
     }
 }
 
-/// Counts one more question about a call; none where it was asked for too often.
+/// Counts a query about a call and returns its deadline; none if the call was queried too often.
 fn count_query(open: &mut calls::OpenCall, now: time::NodeTime) -> Option<time::NodeTime> {
     let quest = open.outcome_query.get_or_insert(calls::OutcomeQuery {
         since: now,
@@ -360,7 +369,7 @@
     query_deadline(open)
 }
 
-/// When a call's node should have said what became of it.
+/// When the query for the outcome of a call times out.
 fn query_deadline(open: &calls::OpenCall) -> Option<time::NodeTime> {
     let patience = match open.treatment.idempotent {
         true => IDEMPOTENT_QUERY_TIMEOUT,
--- a/crates/anvil_core/src/overload.rs
+++ b/crates/anvil_core/src/overload.rs
@@ -1,4 +1,4 @@
-//! The state modules of `anvil_overload` that one node holds.
+//! The overload state of one node, composed of the modules of `anvil_overload`.
 
 use anvil_overload::{
     admission, dependency, kind, policy, quarantine, rank, ratio, refusal, resend,
@@ -9,22 +9,22 @@
 
 use crate::reducer;
 
-/// What a node knows for its decisions under overload, apart from routes.
+/// The state behind a node's decisions under overload, apart from the routes.
 #[derive(Debug, Serialize)]
 pub(crate) struct OverloadState {
     pub(crate) policy: policy::OverloadPolicy,
-    /// The queue of the local target, once it announced itself.
+    /// The queue of the local target, once that has announced itself.
     pub(crate) admission: Option<admission::AdmissionQueue>,
-    /// When the reducer last asked to be woken for the queue.
+    /// The time of the earliest pending timer for the queue.
     #[serde(skip)]
     pub(crate) wake: Option<time::NodeTime>,
-    /// Whether a run broke since the last announcement.
+    /// Whether a run broke since the target's last announcement.
     pub(crate) crashed: bool,
     pub(crate) dependencies: dependency::DependencyTable,
     #[serde(skip)]
     pub(crate) resends: resend::ResendLedger,
     pub(crate) budgets: ratio::ServiceBudgets,
-    /// Retries in a burst for one service that all nodes share; none where each node has its own.
+    /// The burst of retries per service that all nodes share; none if each node has its own.
     pub(crate) fleet_burst: Option<u32>,
     pub(crate) poison: quarantine::PoisonList,
     pub(crate) refusals: refusal::RefusalLog,
@@ -47,7 +47,7 @@
     }
 }
 
-/// What refused a request and whose limit it was.
+/// Why a request was refused, by which limit and at which node.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RefusalCause {
     pub(crate) reason: verdict::RefusalReason,
@@ -56,7 +56,7 @@
 }
 
 impl reducer::NodeReducer {
-    /// The budget of retries for `service`.
+    /// The retry budget for `service`.
     pub(crate) fn retry_budget(&mut self, service: &name::ServiceName) -> &mut ratio::RetryBudget {
         let limits = match self.overload.fleet_burst {
             Some(burst) => ratio::RatioLimits::shared(burst, self.fleet.table().live()),
@@ -65,7 +65,7 @@
         self.overload.budgets.of(self.now, service, limits)
     }
 
-    /// The cut line of the calls that the local target makes for most runs of `kind`.
+    /// The highest cut line among the calls that the local target makes for most runs of `kind`.
     pub(crate) fn downstream_line(&self, kind: kind::CallKind) -> Option<call::CutLine> {
         if !self.overload.policy.deep_refusal {
             return None;
@@ -95,7 +95,7 @@
         load
     }
 
-    /// Keeps why a request was refused, for the operators.
+    /// Records why a request was refused, for operators.
     pub(crate) fn record_refusal(
         &mut self,
         service: &name::ServiceName,
@@ -117,7 +117,7 @@
     }
 }
 
-/// What the quarantine needs to know of a rule.
+/// The settings of a rule for the quarantine.
 pub(crate) fn crash_rule(treatment: &treatment::RuleTreatment) -> quarantine::CrashRule {
     quarantine::CrashRule {
         limit: treatment.crash_limit,
--- a/crates/anvil_core/src/reducer.rs
+++ b/crates/anvil_core/src/reducer.rs
@@ -1,4 +1,4 @@
-//! The one function that every event of a node goes through.
+//! The state of a node and the function that processes its events.
 
 use std::collections::VecDeque;
 
@@ -15,10 +15,10 @@
     overload, request_log, rulebook, runs, shutdown, stopping, timers,
 };
 
-/// The whole state of a node and its transition function.
+/// The complete state of a node and its transition function.
 ///
-/// It is deterministic: the same seed and the same events at the same times give the same
-/// effects, so a failure seen in the field replays as a test.
+/// It is deterministic: the same seed and the same events at the same times give the same effects,
+/// so a failure in production can be replayed as a test.
 #[derive(Debug)]
 pub struct NodeReducer {
     pub(crate) config: config::NodeConfig,
@@ -30,7 +30,7 @@
     pub(crate) runs: runs::RunTable,
     pub(crate) memory: memory::AttemptMemory,
     pub(crate) target: Option<runs::LocalTarget>,
-    /// The start of the target before the present one, in case that one's word came late.
+    /// The previous incarnation of the target, in case the announcement of the current one was late.
     pub(crate) previous_target: Option<runs::LocalTarget>,
     pub(crate) overload: overload::OverloadState,
     pub(crate) timers: timers::TimerQueue,
@@ -38,22 +38,22 @@
     pub(crate) log_budget: request_log::LogBudget,
     pub(crate) phase: stopping::NodePhase,
     pub(crate) stop: stopping::StopPlan,
-    /// The nodes that called lately, and what they are told before this one ends.
+    /// The recent callers, and the handshake with them before this node exits.
     pub(crate) shutdown: shutdown::ShutdownHandshake,
     pub(crate) incarnations: incarnations::IncarnationHistory,
-    /// The service that the instance's target should offer, where the settings say so.
+    /// The service that the instance's target should offer, if the settings name one.
     pub(crate) expected_service: Option<name::ServiceName>,
     pub(crate) fleet: fleet::FleetState,
     pub(crate) keys: keys::KeyState,
     pub(crate) quota: ledger::QuotaLedger,
     pub(crate) proposed: Option<applying::OpenApply>,
-    /// Whether callers were last told to send this node work.
+    /// The readiness that was last reported.
     ready: bool,
     pub(crate) effects: Vec<effect::NodeEffect>,
     loopback: VecDeque<frame::PeerFrame>,
 }
 
-/// The quotas of a node that is the home of all accounts until it knows others.
+/// The quota ledger of a node, which is the home of all accounts until it knows other nodes.
 fn quota_ledger(
     config: &config::NodeConfig,
     policy: policy::OverloadPolicy,
@@ -68,12 +68,12 @@
 }
 
 impl NodeReducer {
-    /// A node that knows nobody yet; `seed` feeds every random choice it makes.
+    /// A node that knows no other nodes; `seed` initializes all of its random choices.
     pub fn new(config: config::NodeConfig, seed: u64) -> Self {
         Self::with_policy(config, seed, policy::OverloadPolicy::FULL)
     }
 
-    /// The same with some safeguards turned off, for experiments.
+    /// The same with some safeguards disabled, for experiments.
     pub fn with_policy(
         config: config::NodeConfig,
         seed: u64,
@@ -109,8 +109,8 @@
         }
     }
 
-    /// Lets the node keep rules and contacts in the platform's store, and guard idempotency keys
-    /// with the nodes that agree with it there.
+    /// Makes the node store rules and contacts in the platform's store, and guard idempotency keys
+    /// together with the other nodes that use the store.
     #[must_use]
     pub fn with_store(mut self) -> Self {
         self.fleet.use_store(self.now);
@@ -118,38 +118,38 @@
         self
     }
 
-    /// Lets the node keep contacts in the platform's store and take its rules from one key there,
-    /// which the operators write.
+    /// Makes the node store contacts in the platform's store and read its rules from one key there,
+    /// which is written by operators.
     #[must_use]
     pub fn with_rule_document(mut self, key: store::StoreKey) -> Self {
         self.fleet.use_document(self.now, key);
         self
     }
 
-    /// Sets how long a stopping node serves callers, and when it gives up what is still out.
+    /// Sets how long a stopping node serves callers, and when it gives up requests in progress.
     #[must_use]
     pub fn with_stop(mut self, plan: stopping::StopPlan) -> Self {
         self.stop = plan;
         self
     }
 
-    /// Names the service that the instance's target should offer.
+    /// Sets the service that the instance's target should offer.
     #[must_use]
     pub fn with_expected_service(mut self, service: name::ServiceName) -> Self {
         self.expected_service = Some(service);
         self
     }
 
-    /// Bounds the retries for each service by a burst that all nodes of the fleet share.
+    /// Bounds the retries per service by a burst that all nodes of the fleet share.
     #[must_use]
     pub fn with_fleet_burst(mut self, burst: u32) -> Self {
         self.overload.fleet_burst = Some(burst);
         self
     }
 
-    /// Takes one event and returns what is to be done about it.
+    /// Processes one event and returns the resulting effects.
     ///
-    /// A `now` behind the last one counts as the last one.
+    /// Time never goes back: a `now` before that of the previous event is replaced by it.
     pub fn step(
         &mut self,
         now: time::NodeTime,
@@ -164,7 +164,7 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// Puts rules in force where their revision is higher; tells whether it did.
+    /// Puts rules in force if their revision is higher; returns whether it did.
     pub fn adopt_rules(
         &mut self,
         revision: ident::RuleRevision,
@@ -175,7 +175,7 @@
         adopted
     }
 
-    /// Learns a node from elsewhere than membership, such as a fixed list.
+    /// Adds a node that is known from another source than membership, such as a fixed list.
     pub fn add_peer(
         &mut self,
         now: time::NodeTime,
@@ -194,14 +194,14 @@
         self.directory.upsert(now, node, record);
     }
 
-    /// When the reducer wants a [`event::NodeEvent::TimerFired`] at the latest.
+    /// The time at which the reducer needs an [`event::NodeEvent::TimerFired`].
     pub fn next_wake(&self) -> Option<time::NodeTime> {
         let due = self.timers.next().into_iter().chain(self.fleet.next_wake());
         let due = due.chain(self.keys.next_wake());
         due.chain(self.quota.next_wake()).min()
     }
 
-    /// Tells when callers should begin or stop to send this node work.
+    /// Reports when the readiness for callers' requests changes.
     fn report_readiness(&mut self) {
         let ready = self.phase == stopping::NodePhase::Serving && self.fleet.is_ready();
         if ready != self.ready {
@@ -210,7 +210,7 @@
         }
     }
 
-    /// Takes in the frames that this node sent to itself.
+    /// Processes the frames that this node sent to itself.
     pub(crate) fn deliver_loopback(&mut self) {
         while let Some(frame) = self.loopback.pop_front() {
             self.frame_arrived(self.config.node, frame);
@@ -294,7 +294,7 @@
         }
     }
 
-    /// Sends a frame, or takes it in at once where the receiver is this node.
+    /// Sends a frame, or queues it for local delivery if the receiver is this node.
     pub(crate) fn send_frame(
         &mut self,
         peer: ident::NodeId,
@@ -316,7 +316,7 @@
         self.effects.push(effect::NodeEffect::Report(change));
     }
 
-    /// Writes a line about one request, as far as the budget of such lines goes.
+    /// Logs a line about one request if the budget for such lines allows it.
     pub(crate) fn log_request(&mut self, change: effect::StateChange) {
         match self.log_budget.take(self.now) {
             request_log::LogGrant::Write { suppressed: 0 } => self.report(change),
--- a/crates/anvil_core/src/retrying.rs
+++ b/crates/anvil_core/src/retrying.rs
@@ -1,4 +1,4 @@
-//! What follows the end of an attempt: a reply, a redirect or a retry; see
+//! Decides what follows an ended attempt: a reply, a redirect or a retry; see
 //! `docs/design/retries.md`.
 
 use std::time::Duration;
@@ -9,13 +9,14 @@
 
 use crate::{calls, entry, keys, overload, reducer, stopping, timers};
 
-/// Refusals by leaving or unreachable nodes that one call follows without spending a retry.
+/// Most redirects per call: refusals by leaving, unready or unreachable nodes that are followed by
+/// another attempt without spending a retry.
 ///
-/// Such an attempt put no load on any target; four cover a rack that leaves at once, and the
-/// bound keeps a call from wandering through a service that is shutting down.
+/// Such an attempt put no load on any target. Four cover a rack that leaves at once, and the bound
+/// keeps a call from trying every node of a service that is shutting down.
 const MAX_REDIRECTS: u8 = 4;
 
-/// Lowest HTTP status that counts against a target when others of its service do better.
+/// Lowest HTTP status that counts as a failure of the target.
 pub(crate) const SERVER_ERROR: u16 = 500;
 
 impl reducer::NodeReducer {
@@ -25,13 +26,13 @@
         if open.treatment.action == treatment::RuleAction::Refuse {
             return Some(verdict::RefusalReason::Rule);
         }
-        // A leaving node finishes what runs, and with it the calls that it makes: refused here,
-        // each would cost its root request although the node waits for it anyway.
+        // A leaving node finishes its runs, which includes the calls that they make. A refusal here
+        // would fail the root request, although the node waits for the run anyway.
         if open.parent.is_none() && self.refuses_callers() {
             return Some(verdict::RefusalReason::Leaving);
         }
-        // A fresh node would decide by rules that its peers have left behind, and the request
-        // would be treated as nobody ordered; the caller is told to come back instead.
+        // A node that just started may hold outdated rules and would treat the request by them; the
+        // caller is asked to retry instead.
         if !self.fleet.is_ready() {
             return Some(verdict::RefusalReason::RulesUnknown);
         }
@@ -49,7 +50,7 @@
         self.draw_root_allowance(sequence)
     }
 
-    /// Time that the next hop may take.
+    /// The time left for the next hop; none if it is too short.
     pub(crate) fn hop_time(&self, sequence: u64, near: bool) -> Option<Duration> {
         let open = self.calls.get(sequence)?;
         if self.overload.policy.cancellation {
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Ends a call that this node refuses.
+    /// Ends a call that this node refuses, and records the limit for the logs.
     pub(crate) fn refuse_call(
         &mut self,
         sequence: u64,
@@ -77,10 +78,11 @@
         }
     }
 
-    /// Suspects the requests that were out at a node when it was lost.
+    /// Marks the requests that were in flight at a lost node as suspects of having crashed it, and
+    /// notifies the peers.
     pub(crate) fn suspect_lost_requests(&mut self, peer: ident::NodeId, lost: &[u64]) {
         let open = lost.iter().filter_map(|sequence| self.calls.get(*sequence));
-        // Membership may have forgotten the node already; its calls still name the service.
+        // Membership may have removed the node already; the service is still known from its calls.
         let mut services = open.clone().map(|open| &open.request.service);
         let Some(service) = services.next().cloned() else {
             return;
@@ -93,7 +95,7 @@
         self.broadcast_suspicion(&notice);
     }
 
-    /// Takes a strike back from a request that came back whole.
+    /// Clears the suspicion against a request that was answered.
     pub(crate) fn clear_suspicion(&mut self, sequence: u64) {
         if let Some(open) = self.calls.get(sequence) {
             self.overload.poison.answered(self.now, open.context.print);
@@ -139,11 +141,12 @@
         }
     }
 
-    /// The pause before a retry, which is paid for with it; none where there is to be no retry,
-    /// so that the caller has its final answer at once.
+    /// The pause before a retry, which also spends the retry; none if there is no retry, so that the
+    /// caller gets its reply immediately.
     ///
-    /// A whole answer is final, whatever its status: the service below had its own retries. Only
-    /// the naive version repeats what `failed` with a server error, as hops usually do.
+    /// A complete answer is final, whatever its status, because the service that sent it had its own
+    /// retries. Only the naive policy repeats requests that `failed` with a server error, as hops
+    /// commonly do.
     fn retry_pause(
         &mut self,
         sequence: u64,
@@ -159,7 +162,8 @@
         if spent || !(error || may_retry(verdict, idempotent)) {
             return None;
         }
-        // One queue that had no slot for it in all the time that its rule allows is enough.
+        // A request that has already waited in a queue for as long as its rule allows isn't retried
+        // for lack of capacity.
         let waited = now.since(open.arrived) >= open.treatment.queue_wait;
         if policy.bounded_queue && waited && is_capacity_refusal(verdict) {
             return None;
@@ -179,7 +183,7 @@
         open.allowance.spend().then_some(pause)
     }
 
-    /// Spends from the budget of the call's service.
+    /// Spends a retry from the budget of the call's service.
     fn spend_retry(&mut self, sequence: u64) -> bool {
         let Some(open) = self.calls.get(sequence) else {
             return false;
@@ -198,8 +202,8 @@
         Some(backoff::pause(first, retry, &mut self.rng))
     }
 
-    /// Whether some target is known that may take the request, so that no caller waits through a
-    /// pause for a refusal that is known beforehand.
+    /// Whether a known target may accept the request. Otherwise the caller would wait for the pause
+    /// only to be refused.
     fn has_available_target(&mut self, sequence: u64) -> bool {
         if !self.overload.policy.early_refusal {
             return true;
@@ -232,7 +236,7 @@
         self.record_refusal(&open.request.service, &open.context, open.rule, cause);
     }
 
-    /// When the caller does well to come back.
+    /// When the caller should retry; none if a retry would not help.
     pub(crate) fn retry_after(
         &self,
         open: &calls::OpenCall,
@@ -278,7 +282,8 @@
         }
     }
 
-    /// When to come back, where the rule tells an objective and the reason passes by itself.
+    /// When the caller should retry if the rule sets a latency objective and the refusal is
+    /// temporary.
     fn retry_after_objective(
         &self,
         open: &calls::OpenCall,
@@ -307,7 +312,7 @@
     fn quarantine_remaining(&self, open: &calls::OpenCall) -> Option<Duration> {
         match self.overload.poison.standing(self.now, open.context.print) {
             quarantine::PrintStanding::Quarantined { left, .. } => Some(left),
-            // The target's node refused it and this one has not heard of the crashes.
+            // The target's node refused it, and this node has not been notified of the crashes.
             quarantine::PrintStanding::Clean | quarantine::PrintStanding::Suspect => {
                 Some(open.treatment.quarantine)
             }
@@ -315,7 +320,7 @@
     }
 }
 
-/// When the account's quota has room again, as its home said.
+/// When the account's quota admits requests again, according to its home node.
 fn quota_pause(open: &calls::OpenCall) -> Option<Duration> {
     match open.refused {
         Some((refusal::RefusalLimit::Quota { pause, .. }, _)) => Some(pause),
@@ -334,9 +339,10 @@
     )
 }
 
-/// Whether the attempt may have come to a target, which then has had to deal with it.
+/// Whether the attempt may have reached a target and put load on it.
 ///
-/// What a node refused by itself put no load on any target, so a further attempt is no repeat there.
+/// An attempt that a node refused put no load on any target, so a further one isn't a retry for the
+/// targets.
 fn reached_target(verdict: verdict::CallVerdict) -> bool {
     let refused = verdict::CallVerdict::NotRun(verdict::RefusalReason::TargetRefused);
     may_have_run(verdict) || verdict == refused
@@ -357,7 +363,8 @@
     )
 }
 
-/// A non-idempotent request is repeated only where it is proved that it did not run.
+/// Whether an attempt may be retried. A non-idempotent request is only repeated if it certainly did
+/// not run.
 fn may_retry(verdict: verdict::CallVerdict, idempotent: bool) -> bool {
     match verdict {
         verdict::CallVerdict::Answered => false,
--- a/crates/anvil_core/src/rollout.rs
+++ b/crates/anvil_core/src/rollout.rs
@@ -1,4 +1,4 @@
-//! How far the rules in force have come, as this node sees it.
+//! The rollout of the rules in force, as observed by this node.
 
 use anvil_types::ident;
 use anvil_wire::gossip;
@@ -6,7 +6,7 @@
 
 use crate::reducer;
 
-/// Lagging nodes named one by one; beyond it only their number is told.
+/// Most lagging nodes that are listed; beyond that only their number is reported.
 const MAX_LAGGING_NODES: usize = 20;
 
 /// On how many nodes the rules are in force.
@@ -14,25 +14,25 @@
 struct RolloutStatus {
     members: u32,
     in_force: u32,
-    /// Nodes that a count asked in vain.
+    /// Nodes that did not answer the count.
     silent: u32,
-    /// Some of the nodes that lag or are silent.
+    /// Some of the nodes that are lagging or silent.
     lagging: Vec<serde_json::Value>,
 }
 
 impl reducer::NodeReducer {
-    /// Begins a count of the nodes on which the revision held is in force; its result shows in a
-    /// later answer, as an operator who waits asks again and again.
+    /// Starts a count of the nodes on which this node's revision is in force. The result appears in
+    /// a later answer, because an operator who waits for it polls.
     pub(crate) fn count_rollout(&mut self) {
         let effects = self.fleet.count_revision(self.now);
         self.apply_fleet_effects(effects);
     }
 
-    /// The revision in force here, and on how many live nodes it is in force.
+    /// The revision in force here, and the number of live nodes on which it is in force.
     ///
-    /// `anvilctl apply --wait` reads this. A finished count of this revision is the answer; until
-    /// there is one, a node counts where it told its revision itself, so an operator is told
-    /// "everywhere" only when everyone has said so.
+    /// `anvilctl apply --wait` reads this. It reports the finished count of this revision. Before
+    /// there is one, a node only counts if it announced the revision itself, so operators see
+    /// "everywhere" only after every node has confirmed it.
     pub(crate) fn rules_status(&self) -> serde_json::Value {
         let revision = self.book.revision();
         let counted = self.fleet.census().filter(|c| c.revision == revision);
@@ -50,7 +50,7 @@
         })
     }
 
-    /// What a finished count says.
+    /// The status according to a finished count.
     fn counted_status(&self, count: &gossip::CensusCount) -> RolloutStatus {
         let heard = |node: &ident::NodeId| self.fleet.table().get(*node).map(|m| m.revision);
         let lagging = count.lagging.iter();
@@ -64,7 +64,7 @@
         }
     }
 
-    /// What the live members themselves told this node.
+    /// The status according to the revisions that the live members announced.
     fn observed_status(&self, revision: ident::RuleRevision) -> RolloutStatus {
         let own = self.config.node;
         let members = self.fleet.table().all().iter();
--- a/crates/anvil_core/src/runs.rs
+++ b/crates/anvil_core/src/runs.rs
@@ -1,4 +1,4 @@
-//! Calls that this node has accepted for its local target.
+//! The runs of the local target: calls that this node has accepted for it.
 
 use anvil_overload::{allowance, kind};
 use anvil_types::{context, ident, name, sorted, time, treatment};
@@ -6,14 +6,14 @@
 
 use crate::{event, request_log, waits};
 
-/// The local target as it announced itself.
+/// The local target, as announced.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LocalTarget {
-    /// What it said.
+    /// Its latest announcement.
     pub announcement: event::TargetAnnouncement,
-    /// When that lapses.
+    /// When the announcement expires.
     pub until: time::NodeTime,
-    /// Whether it said that it leaves.
+    /// Whether it is leaving.
     pub leaving: bool,
 }
 
@@ -22,7 +22,7 @@
 pub enum RunStage {
     /// It waits for a slot.
     Queued,
-    /// The request is out at the target.
+    /// The target is working on it.
     Running,
 }
 
@@ -33,48 +33,49 @@
     pub peer: ident::NodeId,
     /// Where that node accepts the answer.
     pub reply_to: std::net::SocketAddr,
-    /// The call.
+    /// The id of the call.
     pub call: ident::CallId,
-    /// Its attempt.
+    /// The number of the attempt.
     pub attempt: u16,
-    /// The client account that the root request is sent for.
+    /// The client account of the root request.
     pub account: Option<name::AccountName>,
-    /// The caller's own id of the request.
+    /// The id that the caller gave the request.
     pub label: Option<ident::RequestLabel>,
     /// The kind of the request.
     pub kind: kind::CallKind,
-    /// The service asked for.
+    /// The requested service.
     pub service: name::ServiceName,
     /// The request, until it is handed to the target.
     pub request: Option<call::CallRequest>,
-    /// The context, as it came.
+    /// The context, as received.
     pub context: context::CallContext,
-    /// What the entry node's rules decided.
+    /// The treatment by the entry node's rules.
     pub treatment: treatment::RuleTreatment,
     /// When the caller stops waiting.
     pub deadline: time::NodeTime,
-    /// Which of the entry node's rules decided.
+    /// The rule of the entry node that applied.
     pub rule: treatment::RuleMark,
-    /// The allowance that came with the call, on which the target's own calls draw.
+    /// The retry allowance that came with the call; the target's own calls draw on it.
     pub allowance: allowance::ChainAllowance,
     /// When it was accepted.
     pub accepted: time::NodeTime,
     /// When it was handed to the target.
     pub started: Option<time::NodeTime>,
-    /// Whether its deadline passed while it was out.
+    /// Whether its deadline passed while it was running.
     pub expired: bool,
-    /// Whether the start of the target that it was handed to is gone.
+    /// Whether the incarnation of the target that it was handed to has ended.
     pub target_lost: bool,
     /// The target's own calls on its behalf.
     pub waits: waits::CallWaits,
     /// Whether it is queued or running.
     pub stage: RunStage,
-    /// Times that its entry node could not be told that it is held, since it was last heard of.
+    /// Notices about this run that could not be sent to its entry node since that node last
+    /// queried it.
     pub failed_notices: u8,
 }
 
 impl TargetRun {
-    /// Which attempt it is.
+    /// The attempt that the run belongs to.
     pub fn attempt_id(&self) -> fate::AttemptId {
         fate::AttemptId {
             call: self.call,
@@ -82,7 +83,7 @@
         }
     }
 
-    /// The line that tells of its start, where it must not run without the grant of its key.
+    /// The log record of its start, if it must not run without a grant of its idempotency key.
     pub fn keyed_record(&self, run: event::RunId) -> Option<request_log::KeyedRecord> {
         let key = self.context.key.filter(|_| !self.treatment.idempotent)?;
         Some(request_log::KeyedRecord {
@@ -97,7 +98,7 @@
     }
 }
 
-/// All calls accepted for the local target.
+/// All queued and running calls of the local target.
 #[derive(Clone, Debug, Default)]
 pub struct RunTable {
     runs: sorted::SortedTable<u64, Box<TargetRun>>,
@@ -122,7 +123,7 @@
         Some(started)
     }
 
-    /// Marks all runs that are out at the target as lost with it, and names them.
+    /// Marks all running runs as lost together with their target, and returns them.
     pub fn mark_running_lost(&mut self) -> Vec<event::RunId> {
         let lost = self.runs.keys_where(|run| run.stage == RunStage::Running);
         for id in &lost {
@@ -133,7 +134,7 @@
         lost.into_iter().map(event::RunId).collect()
     }
 
-    /// Takes a run out, queued or running.
+    /// Removes a queued or running run.
     pub fn end(&mut self, run: event::RunId) -> Option<Box<TargetRun>> {
         let ended = self.runs.remove(run.0)?;
         if ended.stage == RunStage::Running {
@@ -147,7 +148,7 @@
         self.runs.get(run.0).map(|run| &**run)
     }
 
-    /// A run, to be changed.
+    /// Mutable access to a run.
     pub fn get_mut(&mut self, run: event::RunId) -> Option<&mut TargetRun> {
         self.runs.get_mut(run.0).map(|run| &mut **run)
     }
@@ -159,7 +160,7 @@
         found.map(|(id, _)| event::RunId(*id))
     }
 
-    /// The run of the request that its caller names `label`, the newest of several.
+    /// The newest run of a request that its caller gave the id `label`.
     pub fn find_by_label(&self, label: &ident::RequestLabel) -> Option<event::RunId> {
         let mut entries = self.runs.iter().rev();
         let found = entries.find(|(_, run)| run.label.as_ref() == Some(label));
@@ -171,17 +172,17 @@
         self.runs.iter()
     }
 
-    /// Runs out at the target.
+    /// Number of running runs.
     pub fn running(&self) -> u32 {
         self.running
     }
 
-    /// Runs that wait for a slot.
+    /// Number of runs that wait for a slot.
     pub fn queued(&self) -> usize {
         self.runs.len() - self.running as usize
     }
 
-    /// Whether no run is queued or out.
+    /// Whether no run is queued or running.
     pub fn is_empty(&self) -> bool {
         self.runs.is_empty()
     }
--- a/crates/anvil_core/src/serving.rs
+++ b/crates/anvil_core/src/serving.rs
@@ -1,4 +1,4 @@
-//! The target's node: from another node's call to the answer of the local target.
+//! The target's side of a call: from another node's call to the answer of the local target.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -55,7 +55,7 @@
         self.offer_run(id);
     }
 
-    /// Whether the frame repeats an attempt, which is answered, once, by the first frame's run.
+    /// Whether the frame is a duplicate of an attempt. The run of the first frame answers it.
     fn is_repeat(&mut self, call: &call::PeerCall) -> bool {
         let record = self.memory.record_for(call.context.idempotent);
         !record.received.admit(self.now, call.attempt_id())
@@ -68,7 +68,7 @@
         let found = self.runs.get(run);
         let expired = found.is_some_and(|run| run.expired);
         let outcome = match outcome {
-            // The node closed the connection, since nobody is there any more to answer on it.
+            // The node closed the connection because the target's incarnation has ended.
             event::RunOutcome::Cancelled if found.is_some_and(|run| run.target_lost) => {
                 event::RunOutcome::Broken { in_answer: false }
             }
@@ -76,7 +76,8 @@
         };
         self.record_run_outcome(run, &outcome);
         let (verdict, answer) = match outcome {
-            // The run was cancelled for its deadline; "cancelled" would blame the caller.
+            // The node cancelled the run at its deadline; "cancelled" would mean that the caller
+            // did.
             event::RunOutcome::Cancelled if expired => verdict_of(event::RunOutcome::TimedOut),
             outcome => verdict_of(outcome),
         };
@@ -87,7 +88,7 @@
         self.finish_run(run, verdict, answer);
     }
 
-    /// Answers a run and forgets it; calls that it left open are ended with it.
+    /// Answers and removes a run; calls that it left open end with it.
     pub(crate) fn finish_run(
         &mut self,
         run: event::RunId,
@@ -116,7 +117,7 @@
         self.apply_decisions(decisions);
     }
 
-    /// Answers an attempt of another node, and keeps the answer in case that it does not arrive.
+    /// Answers an attempt of another node, and caches the answer in case it doesn't arrive.
     pub(crate) fn send_answer(
         &mut self,
         peer: ident::NodeId,
@@ -135,10 +136,10 @@
         self.send_frame(peer, reply_to, frame);
     }
 
-    /// Ends the calls that a run left open, since nobody uses their answers any more.
+    /// Ends the calls that a run left open, because nobody uses their answers any more.
     ///
-    /// A stopping node lets them come to their end: a call that is broken off then looks to its
-    /// caller like one that the stop has cost, and it takes no longer than the stop does.
+    /// A stopping node lets them finish instead: a call aborted at that time would look to its
+    /// caller as if it had failed due to the stop, and it takes no longer than the stop itself.
     fn abandon_children(&mut self, run: event::RunId) {
         if matches!(self.phase, stopping::NodePhase::Leaving { .. }) {
             return;
@@ -223,7 +224,7 @@
         }
     }
 
-    /// Stops the work that a lost node had asked for, since no answer can reach it.
+    /// Cancels the runs of a lost node, because no answer can reach it.
     pub(crate) fn cancel_runs_of(&mut self, peer: ident::NodeId) {
         let lost: Vec<u64> = self
             .runs
--- a/crates/anvil_core/src/settling.rs
+++ b/crates/anvil_core/src/settling.rs
@@ -1,5 +1,5 @@
-//! What each attempt and each root request does to the allowance of its chain and to the routes; see
-//! `docs/design/retries.md`.
+//! Settles ended attempts and root requests with the retry allowance of their chain and with the
+//! routes; see `docs/design/retries.md`.
 
 use anvil_overload::{allowance, policy, refusal, resend, routing};
 use anvil_types::{ident, verdict};
@@ -8,7 +8,8 @@
 use crate::{calls, reducer, retrying};
 
 impl reducer::NodeReducer {
-    /// Draws the allowance of a root request that may have been here before.
+    /// Draws the retry allowance of a root request; earlier copies of it may have spent a part.
+    /// Returns why the request is refused if nothing is left.
     pub(crate) fn draw_root_allowance(&mut self, sequence: u64) -> Option<verdict::RefusalReason> {
         if !self.overload.policy.chain_allowance {
             return None;
@@ -45,7 +46,7 @@
         allowance::ChainAllowance::new(bound)
     }
 
-    /// Takes back what an answered attempt did not spend, and learns from its load.
+    /// Reclaims the retries that an answered attempt did not spend, and records its load report.
     pub(crate) fn settle_attempt(&mut self, sequence: u64, answer: &call::PeerAnswer) {
         let now = self.now;
         let Some(open) = self.calls.get_mut(sequence) else {
@@ -74,17 +75,17 @@
         self.directory.attempt_ended(now, &service, peer, report);
     }
 
-    /// Writes off what was lent to an attempt whose node is lost.
+    /// Writes off the retries lent to an attempt whose node was lost.
     pub(crate) fn attempt_lost(&mut self, sequence: u64, peer: ident::NodeId) {
         self.close_attempt(sequence, peer, routing::AttemptEnd::Lost, u16::MAX);
     }
 
-    /// Takes back what was lent to an attempt that never left.
+    /// Reclaims the retries lent to an attempt that was never sent.
     pub(crate) fn attempt_unsent(&mut self, sequence: u64, peer: ident::NodeId) {
         self.close_attempt(sequence, peer, routing::AttemptEnd::Lost, 0);
     }
 
-    /// Writes off an attempt that nobody waits for any more.
+    /// Writes off the retries lent to an attempt that nobody waits for any more.
     pub(crate) fn attempt_given_up(&mut self, sequence: u64, peer: ident::NodeId, expired: bool) {
         let end = if expired {
             routing::AttemptEnd::Failed
@@ -117,9 +118,10 @@
         self.directory.attempt_ended(now, &service, peer, report);
     }
 
-    /// Gives back what the call left: to the run that made it, or to later copies of the root.
+    /// Returns the unspent retries of a call to the run that made it, or saves them for later copies
+    /// of its root request.
     ///
-    /// A call that was not `served` fails its run, as far as that can be known from outside.
+    /// A call that was not `served` is assumed to fail its run, which can't be observed directly.
     pub(crate) fn return_allowance(&mut self, sequence: u64, open: &calls::OpenCall, served: bool) {
         let now = self.now;
         if !self.overload.policy.chain_allowance {
@@ -145,17 +147,18 @@
     }
 }
 
-/// Whether an answer is of use to whoever asked.
+/// Whether an answer counts as a success for the caller.
 pub(crate) fn is_served(answer: &call::CallAnswer) -> bool {
     answer.status < retrying::SERVER_ERROR
 }
 
-/// What the end of an attempt says of its target.
+/// What the outcome of an attempt says about its target.
 ///
-/// Failure: a deep service refuses a part of its calls, and every request that needs it fails.
-/// Symptom: each target above looks bad for some seconds after each such failure, so that requests
-/// leave their availability zone for one that fails no less; three of four claims did, with their
-/// bodies. A failure for that of a call below therefore counts for nothing.
+/// If a service deep in the call graph refuses some of its calls, the requests that need it fail at
+/// every target above. Counted against those targets, the failures would make requests leave their
+/// availability zone for another one that fails as often; three of four requests did so, together
+/// with their bodies. A failure caused by a call further down therefore doesn't count against the
+/// target.
 fn attempt_end(answer: &call::PeerAnswer) -> routing::AttemptEnd {
     match answer.verdict {
         verdict::CallVerdict::Answered => match &answer.answer {
