--- a/crates/anvil_core/examples/overload_table.rs
+++ b/crates/anvil_core/examples/overload_table.rs
@@ -1,5 +1,8 @@
-//! Prints what each safeguard is worth in a small mesh of reducers in injected time:
+//! Prints a table of the effect of each safeguard, simulated with a small mesh of reducers:
 //! `cargo run --release -p anvil_core --example overload_table [scenario] [policy] [seeds]`.
+//!
+//! `scenario` and `policy` select the rows whose names contain them. A policy named `-x` is the
+//! full policy without the safeguard `x`.
 
 #![allow(clippy::unwrap_used)]
 
@@ -9,17 +12,23 @@
 use anvil_overload::policy;
 use anvil_types::context;
 
-/// Seconds at which the pressure begins and ends.
+/// Begin and end of the overload, in seconds.
 const PRESSURE: (f64, f64) = (3.0, 8.0);
 
+/// The load and the faults during the overload.
 struct Scenario {
     name: &'static str,
-    factor: f64,
-    slow: f64,
+    /// Demand as a multiple of [`mesh::SATURATION`].
+    demand_factor: f64,
+    /// Factor on the run time of the service `expediente`, the deepest one.
+    slowdown: f64,
+    /// Most resends of a request by its caller.
     resends: u32,
-    side: f64,
+    /// Requests per second that only need the first service.
+    side_rate: f64,
     fault: mesh::Fault,
-    patience: u64,
+    /// How long a caller waits for an answer, in milliseconds.
+    patience_ms: u64,
 }
 
 const SCENARIOS: [Scenario; 13] = [
@@ -38,37 +47,43 @@
     hurried("hurried-2x", 2.0, 5),
 ];
 
-const fn scenario(name: &'static str, factor: f64, slow: f64, resends: u32) -> Scenario {
+const fn scenario(name: &'static str, demand_factor: f64, slowdown: f64, resends: u32) -> Scenario {
     Scenario {
         name,
-        factor,
-        slow,
+        demand_factor,
+        slowdown,
         resends,
-        side: 0.0,
+        side_rate: 0.0,
         fault: mesh::Fault::None,
-        patience: 2_000,
+        patience_ms: 2_000,
     }
 }
 
-const fn faulty(name: &'static str, factor: f64, resends: u32, fault: mesh::Fault) -> Scenario {
+const fn faulty(
+    name: &'static str,
+    demand_factor: f64,
+    resends: u32,
+    fault: mesh::Fault,
+) -> Scenario {
     Scenario {
         fault,
-        ..scenario(name, factor, 1.0, resends)
+        ..scenario(name, demand_factor, 1.0, resends)
     }
 }
 
-const fn hurried(name: &'static str, factor: f64, resends: u32) -> Scenario {
+/// Callers wait for 400 ms only.
+const fn hurried(name: &'static str, demand_factor: f64, resends: u32) -> Scenario {
     Scenario {
-        patience: 400,
-        ..scenario(name, factor, 1.0, resends)
+        patience_ms: 400,
+        ..scenario(name, demand_factor, 1.0, resends)
     }
 }
 
-/// With as many requests again that need only the first service.
-const fn beside(name: &'static str, factor: f64, slow: f64) -> Scenario {
+/// Adds requests that only need the first service, at the rate of [`mesh::SATURATION`].
+const fn beside(name: &'static str, demand_factor: f64, slowdown: f64) -> Scenario {
     Scenario {
-        side: mesh::SATURATION,
-        ..scenario(name, factor, slow, 0)
+        side_rate: mesh::SATURATION,
+        ..scenario(name, demand_factor, slowdown, 0)
     }
 }
 
@@ -99,16 +114,22 @@
 
 fn main() {
     let mut arguments = std::env::args().skip(1);
-    let only = arguments.next().unwrap_or_default();
-    let which = arguments.next().unwrap_or_default();
+    let scenario_filter = arguments.next().unwrap_or_default();
+    let policy_filter = arguments.next().unwrap_or_default();
     let seeds: u64 = arguments.next().map_or(3, |text| text.parse().unwrap());
-    println!("median of {seeds} seeds; whole answers within the pressure");
+    println!("median of {seeds} seeds; complete answers during the overload");
     println!(
         "| scenario | policy | goodput/s | critical | high | normal | low | recovery s | side | waste | most runs of a root |"
     );
     println!("|---|---|---|---|---|---|---|---|---|---|---|");
-    for scenario in SCENARIOS.iter().filter(|s| s.name.contains(&only)) {
-        for (name, switch) in POLICIES.iter().filter(|(name, _)| name.contains(&which)) {
+    for scenario in SCENARIOS
+        .iter()
+        .filter(|s| s.name.contains(&scenario_filter))
+    {
+        for (name, switch) in POLICIES
+            .iter()
+            .filter(|(name, _)| name.contains(&policy_filter))
+        {
             let rows: Vec<Vec<f64>> = (1..=seeds)
                 .map(|seed| measure(scenario, *switch, seed))
                 .collect();
@@ -128,16 +149,19 @@
     plan.seed = seed;
     plan.until = 20.0;
     plan.resends = scenario.resends;
-    plan.side_rate = scenario.side;
+    plan.side_rate = scenario.side_rate;
     plan.fault = (scenario.fault, from, to);
-    plan.patience = std::time::Duration::from_millis(scenario.patience);
-    let calm = mesh::SATURATION / 2.0;
+    plan.patience = std::time::Duration::from_millis(scenario.patience_ms);
+    let base_rate = mesh::SATURATION / 2.0;
     plan.rates = vec![
-        (0.0, calm),
-        (from, mesh::SATURATION * scenario.factor),
-        (to, calm),
+        (0.0, base_rate),
+        (from, mesh::SATURATION * scenario.demand_factor),
+        (to, base_rate),
+    ];
+    plan.slow = vec![
+        (from, "expediente", scenario.slowdown),
+        (to, "expediente", 1.0),
     ];
-    plan.slow = vec![(from, "expediente", scenario.slow), (to, "expediente", 1.0)];
     let mesh = mesh::Mesh::new(plan, mesh::claims_mesh()).run();
     let mut row = vec![mesh.goodput(from + 1.0, to)];
     let classes = context::PriorityClass::ALL.iter().rev();
