--- a/crates/anvil_core/src/retrying.rs
+++ b/crates/anvil_core/src/retrying.rs
@@ -158,7 +158,7 @@
         let open = self.calls.get(sequence)?;
         let idempotent = open.treatment.idempotent;
         let error = failed && idempotent && !policy.chain_allowance;
-        let spent = open.allowance.left() == 0 || open.attempts_exhausted();
+        let spent = open.allowance.available() == 0 || open.attempts_exhausted();
         if spent || !(error || may_retry(verdict, idempotent)) {
             return None;
         }
@@ -304,16 +304,16 @@
             | verdict::RefusalReason::UnknownService
             | verdict::RefusalReason::Leaving
             | verdict::RefusalReason::Unreachable
-            | verdict::RefusalReason::RulesUnknown => Some(refusal::retry_when_back(lane)),
+            | verdict::RefusalReason::RulesUnknown => Some(refusal::retry_after_restart(lane)),
             _ => None,
         }
     }
 
     fn quarantine_remaining(&self, open: &calls::OpenCall) -> Option<Duration> {
-        match self.overload.poison.standing(self.now, open.context.print) {
-            quarantine::PrintStanding::Quarantined { left, .. } => Some(left),
+        match self.overload.poison.status(self.now, open.context.print) {
+            quarantine::PrintStatus::Quarantined { left, .. } => Some(left),
             // The target's node refused it, and this node has not been notified of the crashes.
-            quarantine::PrintStanding::Clean | quarantine::PrintStanding::Suspect => {
+            quarantine::PrintStatus::Clean | quarantine::PrintStatus::Suspect => {
                 Some(open.treatment.quarantine)
             }
         }
