--- a/crates/anvil_once/src/event.rs
+++ b/crates/anvil_once/src/event.rs
@@ -43,7 +43,7 @@
         call: ident::CallId,
         /// The key.
         key: ident::RequestKey,
-        /// The digest of the request, which tells a duplicate from a reused key.
+        /// The digest of the request, which distinguishes a duplicate from a reused key.
         fingerprint: ident::PrintHash,
         /// How long to wait for a grant.
         wait: Duration,
--- a/crates/anvil_rules/benches/matching.rs
+++ b/crates/anvil_rules/benches/matching.rs
@@ -1,16 +1,16 @@
-//! The matcher against a scan of every rule; figures in `docs/design/rules.md`.
+//! Benchmarks of the matcher against a scan of all rules, and of parsing and changing documents;
+//! see `docs/design/rules.md` for results.
 //!
-//! One document in ten rules a service, as an operator would write them: exact paths, prefixes and
-//! globs, some with a header; the last rule stands for everything. Each iteration decides
-//! [`REQUESTS`] requests spread over all services, so that rules in front and at the end count
-//! alike.
+//! The document has ten typical rules per service: exact paths, prefixes and globs, some with a
+//! header. The last rule matches everything. Each iteration decides [`REQUESTS`] requests spread
+//! over all services, so that early and late rules have the same weight.
 
 use std::fmt::Write;
 
 use anvil_rules::{change, document, matcher, parse, render, view};
 use anvil_types::ident;
 
-/// Counts allocations beside time; deciding a request must make none.
+/// Counts allocations too: deciding a request must not allocate.
 #[global_allocator]
 static ALLOCATOR: divan::AllocProfiler = divan::AllocProfiler::system();
 
@@ -40,14 +40,14 @@
             text,
             "- {{name: r{index}, when: {{service: s{service}, {when}}}, then: {{{then}}}}}"
         )
-        .expect("memory");
+        .expect("writing to memory succeeds");
     }
     text.push_str("- {name: rest, then: {class: low}}\n");
     text
 }
 
 fn parsed(rules: usize) -> document::RuleDocument {
-    parse::parse_rules("bench", &text(rules)).expect("the text is right")
+    parse::parse_rules("bench", &text(rules)).expect("valid rules")
 }
 
 struct Request {
@@ -65,7 +65,7 @@
         ("GET", "/part-9/hearing-dates"),
         ("GET", "/elsewhere"),
     ];
-    // A step that shares no factor with the sizes visits all services evenly.
+    // A stride that is coprime to the number of services visits all services evenly.
     let service = |index: usize| index * 37 % services;
     let request = |index: usize| {
         let (method, path) = kinds[index % kinds.len()];
@@ -129,29 +129,33 @@
     bencher.bench(|| parse::check_rules("bench", divan::black_box(&text)));
 }
 
-/// Replaces every rule by another one, the largest change that there is.
+/// Replaces every rule, which is the largest possible change.
 #[divan::bench(args = SIZES, sample_count = 10)]
 fn apply_largest_change(bencher: divan::Bencher<'_, '_>, rules: usize) {
     let old = parsed(rules);
     let renamed = text(rules).replace("name: r", "name: q");
-    let new = parse::parse_rules("bench", &renamed).expect("the text is right");
+    let new = parse::parse_rules("bench", &renamed).expect("valid rules");
     let change = change_between(&old, &new);
     bencher.with_inputs(|| old.clone()).bench_refs(|document| {
-        document.apply(divan::black_box(&change)).expect("it fits");
+        document
+            .apply(divan::black_box(&change))
+            .expect("the change applies");
     });
 }
 
-/// Changes one rule in the middle, as most changes do.
+/// Changes one rule in the middle, like most changes.
 #[divan::bench(args = SIZES)]
 fn apply_change_of_one_rule(bencher: divan::Bencher<'_, '_>, rules: usize) {
     let old = parsed(rules);
     let changed = text(rules).replacen("class: high", "class: critical", rules / 2);
     let changed = changed.replacen("class: critical", "class: high", rules / 2 - 1);
-    let new = parse::parse_rules("bench", &changed).expect("the text is right");
+    let new = parse::parse_rules("bench", &changed).expect("valid rules");
     let change = change_between(&old, &new);
     assert_eq!(change.edits.len(), 1);
     bencher.with_inputs(|| old.clone()).bench_refs(|document| {
-        document.apply(divan::black_box(&change)).expect("it fits");
+        document
+            .apply(divan::black_box(&change))
+            .expect("the change applies");
     });
 }
 
@@ -171,7 +175,7 @@
 fn diff_largest_change(bencher: divan::Bencher<'_, '_>, rules: usize) {
     let old = parsed(rules);
     let renamed = text(rules).replace("name: r", "name: q");
-    let new = parse::parse_rules("bench", &renamed).expect("the text is right");
+    let new = parse::parse_rules("bench", &renamed).expect("valid rules");
     bencher.bench(|| change::diff(divan::black_box(&old), divan::black_box(&new)));
 }
 
--- a/crates/anvil_rules/src/account.rs
+++ b/crates/anvil_rules/src/account.rs
@@ -1,4 +1,4 @@
-//! Client accounts as the operators state them; see `docs/design/accounts.md`.
+//! Client accounts as configured by operators; see `docs/design/accounts.md`.
 
 use std::sync::Arc;
 
@@ -7,22 +7,22 @@
 
 use crate::change;
 
-/// Most accounts of one document.
+/// Maximum number of accounts in a document.
 pub const MAX_ACCOUNTS: usize = 10_000;
 
-/// Most keys of one account; a change of keys needs two for a while.
+/// Maximum number of keys of one account; a key rotation needs two for a while.
 pub const MAX_KEYS_PER_ACCOUNT: usize = 64;
 
 /// One client account.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AccountRecord {
-    /// Unique within the document; targets are told it.
+    /// The name, unique within the document; it is sent to targets.
     pub name: name::AccountName,
-    /// Importance of its requests, in place of what the rules say of them.
+    /// Priority class of its requests, which overrides the class that the rules set.
     pub class: Option<context::PriorityClass>,
-    /// Digests of the keys that its callers send.
+    /// Digests of the keys that identify its callers.
     pub keys: Vec<account::KeyDigest>,
-    /// How much it may ask for; none where it is not bounded.
+    /// Its request quota; `None` if it is unlimited.
     pub quota: Option<account::AccountQuota>,
 }
 
@@ -33,7 +33,7 @@
 }
 
 impl AccountTable {
-    /// Takes accounts in any order; two of one name, or that hold one key, are refused.
+    /// Creates a table from accounts in any order; fails on a duplicate name or key.
     pub fn new(accounts: Vec<AccountRecord>) -> Result<Self, change::ChangeConflict> {
         let mut accounts: Vec<_> = accounts.into_iter().map(Arc::new).collect();
         accounts.sort_by(|a, b| a.name.cmp(&b.name));
@@ -53,7 +53,7 @@
         position.ok().map(|position| &self.accounts[position])
     }
 
-    /// Checks a table from elsewhere.
+    /// Validates a deserialized table.
     pub(crate) fn check(&self) -> Result<(), change::ChangeConflict> {
         if self.accounts.len() > MAX_ACCOUNTS {
             let limit = MAX_ACCOUNTS;
@@ -77,10 +77,11 @@
     }
 }
 
-/// Which account holds a key.
+/// An index of accounts by key.
 #[derive(Clone, Debug, Default)]
 pub struct KeyIndex {
-    /// Sorted by digest. The time of a search tells of digests only, which no caller chooses.
+    /// Sorted by digest. The duration of a search leaks information about digests only, which
+    /// callers can't choose.
     holders: Vec<(account::KeyDigest, Arc<AccountRecord>)>,
 }
 
--- a/crates/anvil_rules/src/change.rs
+++ b/crates/anvil_rules/src/change.rs
@@ -1,7 +1,7 @@
 //! Changes of the rules, as they are stored and sent.
 //!
-//! A change holds what differs, never the whole document: thousands of changes a day over
-//! hundreds of services would otherwise outgrow the store's rates and value sizes.
+//! A change contains only the differences and never the whole document: with thousands of changes a
+//! day over hundreds of services, whole documents would exceed the store's rate and value limits.
 
 use std::sync::Arc;
 
@@ -9,38 +9,39 @@
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
 
-use crate::{account, chain, document};
+use crate::{account, document, rule_list};
 
 /// One change by one operator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RuleChange {
-    /// The operator's own id of the change, by which a lost answer is resolved.
+    /// The id that the operator's client chose. If a reply is lost, it shows whether the change has
+    /// been made.
     pub id: u128,
-    /// Who made it, as told by the operators' command.
+    /// Who made it, as stated by the operator's command.
     pub author: String,
-    /// The revision that the operator saw.
+    /// The revision that the operator edited.
     pub base: ident::RuleRevision,
-    /// What to do, in order.
+    /// The edits, in order.
     pub edits: Vec<RuleEdit>,
 }
 
 /// One step of a change.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RuleEdit {
-    /// Add a rule, or replace the one of its name.
+    /// Add a rule, or replace the rule of the same name.
     #[display("put {} {}", rule.name, placement(before.as_ref()))]
     Put {
         /// The rule.
         rule: Arc<document::NamedRule>,
-        /// The rule in front of which it then stands; at the end where there is none.
+        /// The rule before which it is placed; `None` for the end.
         before: Option<name::RuleName>,
     },
-    /// Move a rule as it is.
+    /// Move a rule without changing it.
     #[display("move {name} {}", placement(before.as_ref()))]
     Move {
         /// The rule.
         name: name::RuleName,
-        /// The rule in front of which it then stands; at the end where there is none.
+        /// The rule before which it is placed; `None` for the end.
         before: Option<name::RuleName>,
     },
     /// Remove a rule.
@@ -49,10 +50,13 @@
         /// The rule.
         name: name::RuleName,
     },
-    /// Replace the client accounts, all of them.
-    #[display("replace the accounts by {}", accounts.as_ref().map_or(0, |table| table.accounts().len()))]
+    /// Replace all client accounts.
+    #[display(
+        "replace all accounts with {} accounts",
+        accounts.as_ref().map_or(0, |table| table.accounts().len())
+    )]
     Accounts {
-        /// The accounts; none where requests need no key.
+        /// The accounts; `None` if requests need no key.
         accounts: Option<Arc<account::AccountTable>>,
     },
 }
@@ -61,23 +65,23 @@
     before.map_or_else(|| "at the end".to_owned(), |name| format!("before {name}"))
 }
 
-/// Why a change doesn't fit a document; the document is then as before.
+/// Why a change can't be applied to a document, which then stays unchanged.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error, Serialize, Deserialize)]
 pub enum ChangeConflict {
-    /// The change speaks of a rule that isn't there.
-    #[display("there is no rule {name} any more")]
+    /// The change refers to a rule that does not exist.
+    #[display("rule {name} does not exist")]
     Missing {
         /// The rule.
         name: name::RuleName,
     },
-    /// Two rules have one name.
-    #[display("there are two rules {name}")]
+    /// Two rules have the same name.
+    #[display("two rules have the name {name}")]
     Duplicate {
         /// The name.
         name: name::RuleName,
     },
-    /// A rule would have to stand in front of itself.
-    #[display("the rule {name} can't stand in front of itself")]
+    /// A rule is to be placed before itself.
+    #[display("rule {name} can't be placed before itself")]
     SelfReference {
         /// The rule.
         name: name::RuleName,
@@ -94,13 +98,13 @@
         /// The greatest number.
         limit: usize,
     },
-    /// Two accounts have one name.
-    #[display("there are two accounts {name}")]
+    /// Two accounts have the same name.
+    #[display("two accounts have the name {name}")]
     DuplicateAccount {
         /// The name.
         name: name::AccountName,
     },
-    /// Two accounts hold one key, or one holds it twice.
+    /// Two accounts have the same key, or one has it twice.
     #[display("the accounts {first} and {second} hold the same key")]
     SharedKey {
         /// One of them.
@@ -111,35 +115,35 @@
 }
 
 impl document::RuleDocument {
-    /// Makes a change, whole or not at all.
+    /// Applies a change completely or not at all.
     ///
-    /// Neither the base nor the ranges are looked at: whoever accepts a change compares the base
-    /// and checks the text, and a node that refused an accepted change later would fall behind
-    /// its peers for good.
+    /// It checks neither the base nor the ranges. The node that accepts a change from an operator
+    /// does that; a node that rejected an already accepted change could never catch up with its
+    /// peers.
     pub fn apply(&mut self, change: &RuleChange) -> Result<(), ChangeConflict> {
-        let mut chain = chain::RuleChain::new(self.rules(), &change.edits);
+        let mut list = rule_list::RuleList::new(self.rules(), &change.edits);
         let mut accounts = self.accounts();
         for edit in &change.edits {
             match edit {
                 RuleEdit::Accounts { accounts: edited } => accounts = edited.as_ref(),
-                _ => chain.edit(edit)?,
+                _ => list.edit(edit)?,
             }
         }
-        check_count(chain.len())?;
+        check_count(list.len())?;
         let accounts = accounts.cloned();
-        *self = Self::from_checked(chain.into_rules(), accounts);
+        *self = Self::from_checked(list.into_rules(), accounts);
         Ok(())
     }
 
-    /// Checks what [`crate::parse::parse_rules`] promises, for a document from elsewhere.
+    /// Checks a deserialized document for what [`crate::parse::parse_rules`] guarantees.
     pub(crate) fn check(&self) -> Result<(), ChangeConflict> {
         check_count(self.rules().len())?;
         if let Some(accounts) = self.accounts() {
             accounts.check()?;
         }
-        let places = places_by_name(self);
-        let twice = places.windows(2).find(|pair| pair[0].0 == pair[1].0);
-        match twice {
+        let index_entries = index_by_name(self);
+        let duplicate = index_entries.windows(2).find(|pair| pair[0].0 == pair[1].0);
+        match duplicate {
             None => Ok(()),
             Some(pair) => {
                 let name = pair[0].0.clone();
@@ -157,31 +161,31 @@
     Ok(())
 }
 
-/// The edits that turn `old` into `new`.
+/// Computes the edits that turn `old` into `new`.
 ///
-/// Rules that keep their order among themselves stay untouched, chosen as a longest increasing
-/// subsequence, so that one moved rule costs one edit. The rest is put in place from the end of
-/// `new` to its front, so that the rule that each stands in front of is already there.
+/// The largest set of rules that keep their relative order, found as a longest increasing
+/// subsequence, needs no move, so that one moved rule costs one edit. The other rules are placed
+/// from the end of `new` to its start, so that the rule after each one is already in place.
 pub fn diff(old: &document::RuleDocument, new: &document::RuleDocument) -> Vec<RuleEdit> {
-    let old_places = places_by_name(old);
-    let new_names = places_by_name(new);
+    let old_index = index_by_name(old);
+    let new_index = index_by_name(new);
     let mut edits: Vec<RuleEdit> = Vec::new();
     for rule in old.rules() {
-        if place_in(&new_names, &rule.name).is_none() {
+        if find_position(&new_index, &rule.name).is_none() {
             let name = rule.name.clone();
             edits.push(RuleEdit::Remove { name });
         }
     }
-    let from: Vec<Option<usize>> = new
+    let old_positions: Vec<Option<usize>> = new
         .rules()
         .iter()
-        .map(|rule| place_in(&old_places, &rule.name))
+        .map(|rule| find_position(&old_index, &rule.name))
         .collect();
-    let kept = longest_increasing(&from);
+    let in_order = longest_increasing(&old_positions);
     let mut before: Option<name::RuleName> = None;
     for (index, rule) in new.rules().iter().enumerate().rev() {
-        let same = from[index].is_some_and(|position| old.rules()[position] == *rule);
-        match (same, kept[index]) {
+        let unchanged = old_positions[index].is_some_and(|position| old.rules()[position] == *rule);
+        match (unchanged, in_order[index]) {
             (true, true) => {}
             (true, false) => edits.push(RuleEdit::Move {
                 name: rule.name.clone(),
@@ -201,41 +205,45 @@
     edits
 }
 
-/// Names with their places, sorted by name.
-fn places_by_name(document: &document::RuleDocument) -> Vec<(&name::RuleName, usize)> {
+/// The index of each rule, sorted by name.
+fn index_by_name(document: &document::RuleDocument) -> Vec<(&name::RuleName, usize)> {
     let names = document.rules().iter().enumerate();
-    let mut places: Vec<_> = names.map(|(index, rule)| (&rule.name, index)).collect();
-    places.sort_unstable();
-    places
+    let mut index_entries: Vec<_> = names.map(|(index, rule)| (&rule.name, index)).collect();
+    index_entries.sort_unstable();
+    index_entries
 }
 
-fn place_in(places: &[(&name::RuleName, usize)], name: &name::RuleName) -> Option<usize> {
-    let found = places.binary_search_by(|(known, _)| (*known).cmp(name));
-    found.ok().map(|index| places[index].1)
+fn find_position(
+    index_entries: &[(&name::RuleName, usize)],
+    name: &name::RuleName,
+) -> Option<usize> {
+    let found = index_entries.binary_search_by(|(known, _)| (*known).cmp(name));
+    found.ok().map(|index| index_entries[index].1)
 }
 
-/// Marks the entries of one longest increasing subsequence; entries without a value stay out.
+/// Selects the entries of one longest increasing subsequence; entries without a value are excluded.
 fn longest_increasing(values: &[Option<usize>]) -> Vec<bool> {
-    // The last entry of the best subsequence of each length, and each entry's forerunner.
+    // The last entry of the subsequence with the smallest last value for each length, and the
+    // predecessor of each entry in its subsequence.
     let mut tails: Vec<usize> = Vec::new();
-    let mut forerunners: Vec<Option<usize>> = vec![None; values.len()];
+    let mut predecessors: Vec<Option<usize>> = vec![None; values.len()];
     for (index, value) in values.iter().enumerate() {
         if value.is_none() {
             continue;
         }
         let length = tails.partition_point(|tail| values[*tail] < *value);
-        forerunners[index] = length.checked_sub(1).map(|before| tails[before]);
+        predecessors[index] = length.checked_sub(1).map(|before| tails[before]);
         if length == tails.len() {
             tails.push(index);
         } else {
             tails[length] = index;
         }
     }
-    let mut marks = vec![false; values.len()];
+    let mut selected = vec![false; values.len()];
     let mut next = tails.last().copied();
     while let Some(index) = next {
-        marks[index] = true;
-        next = forerunners[index];
+        selected[index] = true;
+        next = predecessors[index];
     }
-    marks
+    selected
 }
--- a/crates/anvil_rules/src/codec.rs
+++ b/crates/anvil_rules/src/codec.rs
@@ -1,56 +1,56 @@
-//! Changes and documents as bytes, for the store's log and for messages between nodes.
+//! Binary encoding of changes and documents, for the log in the store and messages between nodes.
 //!
-//! A byte for the format stands in front. The log outlives the nodes that wrote it, so a node
-//! that meets a later format must say so instead of reading something else into it.
+//! The first byte is the format version. The log outlives the nodes that wrote it, so a node that
+//! reads a later format must report it instead of misinterpreting the bytes.
 
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
 
 use crate::{change, document};
 
-/// The format written, and the only one read.
+/// The format version that is written, and the only one that is read.
 pub const FORMAT_VERSION: u8 = 2;
 
-/// Why bytes were refused.
+/// Why bytes could not be decoded.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error)]
 pub enum CodecError {
-    /// Another version wrote them.
+    /// They have another format version.
     #[display("format {found} is not the format {FORMAT_VERSION} of this version")]
     Format {
-        /// The format found.
+        /// The format version of the bytes.
         found: u8,
     },
-    /// They are no such value.
+    /// They are not a valid encoding.
     #[display("the bytes are malformed: {reason}")]
     Malformed {
-        /// What the decoder said.
+        /// The message of the decoder.
         #[error(not(source))]
         reason: String,
     },
     /// The rules of a document contradict each other.
     #[display("{conflict}")]
     Conflict {
-        /// How.
+        /// The contradiction.
         conflict: change::ChangeConflict,
     },
 }
 
-/// Writes a change.
+/// Encodes a change.
 pub fn encode_change(change: &change::RuleChange) -> Result<Vec<u8>, CodecError> {
     encode(change)
 }
 
-/// Reads a change.
+/// Decodes a change.
 pub fn decode_change(bytes: &[u8]) -> Result<change::RuleChange, CodecError> {
     decode(bytes)
 }
 
-/// Writes a document.
+/// Encodes a document.
 pub fn encode_document(document: &document::RuleDocument) -> Result<Vec<u8>, CodecError> {
     encode(document)
 }
 
-/// Reads a document; duplicate names and too many rules are refused.
+/// Decodes a document and validates it, including its accounts.
 pub fn decode_document(bytes: &[u8]) -> Result<document::RuleDocument, CodecError> {
     let document: document::RuleDocument = decode(bytes)?;
     let checked = document.check();
@@ -71,14 +71,14 @@
     T: Deserialize<'a>,
 {
     let (format, rest) = bytes.split_first().ok_or_else(|| CodecError::Malformed {
-        reason: "there are none".to_owned(),
+        reason: "empty input".to_owned(),
     })?;
     if *format != FORMAT_VERSION {
         return Err(CodecError::Format { found: *format });
     }
     let (value, rest) = postcard::take_from_bytes(rest).map_err(|error| malformed(&error))?;
     if !rest.is_empty() {
-        let reason = format!("{} bytes behind the end", rest.len());
+        let reason = format!("{} trailing bytes", rest.len());
         return Err(CodecError::Malformed { reason });
     }
     Ok(value)
--- a/crates/anvil_rules/src/condition.rs
+++ b/crates/anvil_rules/src/condition.rs
@@ -1,11 +1,11 @@
-//! The `when` of a rule.
+//! The `when` part of a rule.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
 use crate::{path, service, view};
 
-/// All parts must hold; an empty part holds for every request.
+/// A condition on requests. All parts must match; an empty part matches every request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RuleCondition {
     /// One of these hosts, in lower case and without a port.
@@ -16,27 +16,27 @@
     pub methods: Vec<String>,
     /// One of these paths.
     pub paths: Vec<path::PathPattern>,
-    /// All of these headers, sorted by name, each named once.
+    /// All of these headers, sorted by name and without duplicates.
     pub headers: Vec<HeaderCondition>,
 }
 
-/// What must hold for one header.
+/// A condition on one header.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[display("{name} {test}")]
 pub struct HeaderCondition {
     /// Field name, lower case.
     pub name: String,
-    /// What must hold.
+    /// The test of its lines.
     pub test: HeaderTest,
 }
 
-/// What must hold for the lines of one header.
+/// A test of the lines of one header.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 pub enum HeaderTest {
-    /// There is such a line.
+    /// There is at least one line.
     #[display("is present")]
     Present,
-    /// There is no such line.
+    /// There is no line.
     #[display("is absent")]
     Absent,
     /// One of the lines has exactly this value.
@@ -44,45 +44,45 @@
     Equals(String),
 }
 
-/// The part of a condition that didn't hold.
+/// The part of a condition that didn't match.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ConditionPart {
-    /// The host is another.
+    /// The host differs.
     #[display("host")]
     Host,
-    /// The service is another.
+    /// The service differs.
     #[display("service")]
     Service,
-    /// The method is another.
+    /// The method differs.
     #[display("method")]
     Method,
-    /// The path is another.
+    /// The path differs.
     #[display("path")]
     Path,
-    /// A header is missing, differs, or is there although it must not be.
+    /// A header is missing, differs, or is present although it must be absent.
     #[display("headers")]
     Headers,
 }
 
 impl RuleCondition {
-    /// Tells whether the condition holds for `request`.
+    /// Whether the condition matches `request`.
     pub fn matches(&self, request: &view::RequestView<'_>) -> bool {
         self.first_mismatch(request).is_none()
     }
 
-    /// The first part that doesn't hold for `request`, or none where all hold.
+    /// The first part that doesn't match `request`, or `None` if all match.
     pub fn first_mismatch(&self, request: &view::RequestView<'_>) -> Option<ConditionPart> {
-        if !self.holds_host(request) {
+        if !self.matches_host(request) {
             return Some(ConditionPart::Host);
         }
-        if !self.holds_service(request.service) {
+        if !self.matches_service(request.service) {
             return Some(ConditionPart::Service);
         }
-        if !self.holds_method(request.method) {
+        if !self.matches_method(request.method) {
             return Some(ConditionPart::Method);
         }
-        if !self.holds_path(request.path) {
+        if !self.matches_path(request.path) {
             return Some(ConditionPart::Path);
         }
         if !self.headers.iter().all(|header| header.matches(request)) {
@@ -91,7 +91,7 @@
         None
     }
 
-    fn holds_host(&self, request: &view::RequestView<'_>) -> bool {
+    fn matches_host(&self, request: &view::RequestView<'_>) -> bool {
         if self.hosts.is_empty() {
             return true;
         }
@@ -101,22 +101,23 @@
             .any(|known| known.eq_ignore_ascii_case(host))
     }
 
-    fn holds_service(&self, service: &str) -> bool {
+    fn matches_service(&self, service: &str) -> bool {
         let mut services = self.services.iter();
         self.services.is_empty() || services.any(|pattern| pattern.matches(service))
     }
 
-    fn holds_method(&self, method: &str) -> bool {
+    fn matches_method(&self, method: &str) -> bool {
         self.methods.is_empty() || self.methods.iter().any(|known| known == method)
     }
 
-    fn holds_path(&self, path: &str) -> bool {
+    fn matches_path(&self, path: &str) -> bool {
         self.paths.is_empty() || self.paths.iter().any(|pattern| pattern.matches(path))
     }
 
-    /// Tells whether every request that `other` holds for is surely matched by this one too.
+    /// Whether this condition provably matches every request that `other` matches.
     ///
-    /// A `false` may be wrong where only several patterns together cover one; a `true` never is.
+    /// A `false` may be wrong if only several patterns together cover one of `other`; a `true` is
+    /// always right.
     pub fn covers(&self, other: &Self) -> bool {
         covers_each(&self.hosts, &other.hosts, |own, inner| own == inner)
             && covers_each(&self.services, &other.services, |own, inner| {
@@ -127,7 +128,7 @@
             && self
                 .headers
                 .iter()
-                .all(|own| own.follows_from(&other.headers))
+                .all(|own| own.is_implied_by(&other.headers))
     }
 }
 
@@ -152,7 +153,7 @@
         }
     }
 
-    fn follows_from(&self, others: &[Self]) -> bool {
+    fn is_implied_by(&self, others: &[Self]) -> bool {
         let mut same_name = others.iter().filter(|other| other.name == self.name);
         same_name.any(|other| match (&self.test, &other.test) {
             (HeaderTest::Present, HeaderTest::Equals(_)) => true,
--- a/crates/anvil_rules/src/destination.rs
+++ b/crates/anvil_rules/src/destination.rs
@@ -1,13 +1,13 @@
-//! Where a rule sends the requests that it matches.
+//! The services that a rule sends matching requests to.
 
 use anvil_types::name;
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// Most services that one rule divides its requests among.
+/// Maximum number of services in a traffic split.
 pub const MAX_SPLIT_PARTS: usize = 64;
 
-/// Largest weight of one part; all parts together stay far below what a sum can hold.
+/// Maximum weight of one part, so that the sum of all weights can't overflow.
 pub const MAX_WEIGHT: u32 = 1_000_000;
 
 /// One service and its share of the requests.
@@ -16,17 +16,17 @@
 pub struct WeightedService {
     /// The service.
     pub service: name::ServiceName,
-    /// Its share of all weights; zero sends it nothing.
+    /// Its weight relative to the sum of all weights; with zero it receives no request.
     pub weight: u32,
 }
 
 /// The services that a rule sends its requests to.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RuleDestination {
-    /// All to this one.
+    /// All requests go to this service.
     #[display("{_0}")]
     Service(name::ServiceName),
-    /// Each to one of these, in proportion to their weights.
+    /// Each request goes to one of these services, in proportion to their weights.
     #[display("{}", _0.iter().map(ToString::to_string).collect::<Vec<_>>().join(", "))]
     Split(Vec<WeightedService>),
 }
@@ -40,22 +40,22 @@
         }
     }
 
-    /// The service of a request whose random draw is `draw`.
+    /// Selects the service for a request by the random number `draw`.
     ///
-    /// Each request draws for itself, and a service that is short of room keeps its share: moving
-    /// what it refuses to the others would undo the division that the operator ordered.
+    /// Each request is drawn independently, and an overloaded service keeps its share: sending what
+    /// it refuses to the others would change the split that the operator configured.
     pub fn pick(&self, draw: u64) -> Option<&name::ServiceName> {
         match self {
             Self::Service(service) => Some(service),
             Self::Split(parts) => {
-                let whole: u64 = parts.iter().map(|part| u64::from(part.weight)).sum();
-                let mut left = draw.checked_rem(whole)?;
+                let total: u64 = parts.iter().map(|part| u64::from(part.weight)).sum();
+                let mut remaining = draw.checked_rem(total)?;
                 for part in parts {
                     let weight = u64::from(part.weight);
-                    if left < weight {
+                    if remaining < weight {
                         return Some(&part.service);
                     }
-                    left -= weight;
+                    remaining -= weight;
                 }
                 None
             }
--- a/crates/anvil_rules/src/document.rs
+++ b/crates/anvil_rules/src/document.rs
@@ -7,34 +7,34 @@
 
 use crate::{account, change, condition, outcome};
 
-/// Most rules of one document; matching and checking are measured up to here, see
-/// `docs/design/rules.md`.
+/// Maximum number of rules in a document. `docs/design/rules.md` has measurements of matching and
+/// checking up to this size.
 pub const MAX_RULES: usize = 10_000;
 
-/// One rule: the first whose condition holds decides.
+/// One rule. The first rule whose condition matches decides a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NamedRule {
-    /// Unique within the document; changes and explanations refer to it.
+    /// The name, unique within the document, by which changes and explanations refer to the rule.
     pub name: name::RuleName,
     /// The condition.
     pub when: condition::RuleCondition,
-    /// What is decided.
+    /// The outcome for matching requests.
     pub then: outcome::RuleOutcome,
 }
 
 /// The operators' rules, in order, with unique names.
 ///
-/// Rules are shared, so a copy of the document costs little and an older one may stay in use
+/// Rules are reference-counted, so cloning a document is cheap and an older one may stay in use
 /// while a newer one is built.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RuleDocument {
     rules: Vec<Arc<NamedRule>>,
-    /// Whose requests are served; none where requests need no key.
+    /// The accounts whose requests are served; `None` if requests need no key.
     accounts: Option<Arc<account::AccountTable>>,
 }
 
 impl RuleDocument {
-    /// Takes rules in order; two of one name, or too many, are refused.
+    /// Creates a document from rules in order; fails on a duplicate name or too many rules.
     pub fn new(rules: Vec<NamedRule>) -> Result<Self, change::ChangeConflict> {
         let rules = rules.into_iter().map(Arc::new).collect();
         let document = Self::from_checked(rules, None);
@@ -42,7 +42,8 @@
         Ok(document)
     }
 
-    /// Takes rules whose names the caller has checked to be unique, and a checked table.
+    /// Creates a document from rules whose names the caller has checked to be unique, and a checked
+    /// table.
     pub(crate) const fn from_checked(
         rules: Vec<Arc<NamedRule>>,
         accounts: Option<Arc<account::AccountTable>>,
@@ -50,13 +51,13 @@
         Self { rules, accounts }
     }
 
-    /// The same rules for these accounts; without any, requests need no key.
+    /// Replaces the client accounts; with `None`, requests need no key.
     #[must_use]
     pub fn with_accounts(self, accounts: Option<Arc<account::AccountTable>>) -> Self {
         Self { accounts, ..self }
     }
 
-    /// The client accounts; none where requests need no key.
+    /// The client accounts; `None` if requests need no key.
     pub fn accounts(&self) -> Option<&Arc<account::AccountTable>> {
         self.accounts.as_ref()
     }
@@ -66,7 +67,7 @@
         &self.rules
     }
 
-    /// The rule of this name and its place.
+    /// The rule of this name and its index.
     pub fn find(&self, name: &name::RuleName) -> Option<(usize, &Arc<NamedRule>)> {
         let mut rules = self.rules.iter().enumerate();
         rules.find(|(_, rule)| rule.name == *name)
--- a/crates/anvil_rules/src/duration.rs
+++ b/crates/anvil_rules/src/duration.rs
@@ -1,8 +1,8 @@
-//! Durations as operators write them.
+//! The text form of durations in rules and settings.
 
 use std::time::Duration;
 
-/// Units, the longest suffix first, so that `ms` isn't read as `s`; in microseconds.
+/// Units in microseconds. `us` and `ms` come before `s`, which they end with.
 const UNITS: [(&str, u64); 5] = [
     ("us", 1),
     ("ms", 1_000),
@@ -11,7 +11,7 @@
     ("h", 3_600_000_000),
 ];
 
-/// Reads a whole number with a unit, such as `500ms`; none where the text is anything else.
+/// Parses a whole number with a unit, such as `500ms`; returns `None` for any other text.
 pub fn parse(text: &str) -> Option<Duration> {
     let (unit, scale) = UNITS.iter().find(|(unit, _)| text.ends_with(unit))?;
     let digits = text.strip_suffix(unit)?;
@@ -22,12 +22,12 @@
     Some(Duration::from_micros(number.checked_mul(*scale)?))
 }
 
-/// Writes a duration with the greatest unit that loses nothing; [`parse`] takes it back.
+/// Formats a duration in the largest unit that represents it exactly; [`parse`] reads it back.
 pub fn format(duration: Duration) -> String {
     let micros = u64::try_from(duration.as_micros()).unwrap_or(u64::MAX);
-    let fits = |scale: u64| micros.is_multiple_of(scale);
-    let whole = UNITS.iter().rev().find(|(_, scale)| fits(*scale));
-    match whole {
+    let divides = |scale: u64| micros.is_multiple_of(scale);
+    let largest = UNITS.iter().rev().find(|(_, scale)| divides(*scale));
+    match largest {
         Some((unit, scale)) if micros > 0 => format!("{}{unit}", micros / scale),
         _ => "0s".to_owned(),
     }
--- a/crates/anvil_rules/src/explain.rs
+++ b/crates/anvil_rules/src/explain.rs
@@ -1,4 +1,4 @@
-//! Why a request is treated as it is.
+//! Explanations of how a request is treated.
 
 use anvil_types::{name, treatment};
 use derive_more::Display;
@@ -6,33 +6,33 @@
 
 use crate::{condition, duration, matcher, outcome, view};
 
-/// Most rules listed as passed over; the rest is only counted.
+/// Maximum number of skipped rules that are listed; the others are only counted.
 const MAX_SKIPPED_RULES: usize = 20;
 
 /// Which rule decides a request, and why.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct RuleExplanation {
-    /// The deciding rule; none where no rule holds and the defaults decide.
+    /// The deciding rule; `None` if no rule matches and the defaults apply.
     pub rule: Option<name::RuleName>,
-    /// Its place in the list, from zero.
+    /// Its index in the list, from zero.
     pub index: Option<u32>,
-    /// Why it decides, in one sentence.
+    /// Why it decides, as one sentence.
     pub reason: String,
-    /// Earlier rules that speak of the service and still don't hold, in order.
+    /// Earlier rules that fail to match for another reason than the service, in order.
     pub passed_over: Vec<SkippedRule>,
-    /// Earlier rules beyond those listed: most of them speak of other services.
+    /// The number of earlier rules that are not listed, most of them for other services.
     pub others_passed_over: usize,
-    /// What is decided, field by field, in the words of the rule file.
+    /// The resulting value of each field, as written in a rule file.
     pub decision: Vec<DecidedField>,
 }
 
-/// An earlier rule that doesn't hold.
+/// An earlier rule that doesn't match.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Serialize)]
 #[display("{name}: the {differs} differs")]
 pub struct SkippedRule {
     /// Its name.
     pub name: name::RuleName,
-    /// The first part of its condition that doesn't hold.
+    /// The first part of its condition that doesn't match.
     pub differs: condition::ConditionPart,
 }
 
@@ -52,28 +52,28 @@
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum FieldSource {
-    /// The rule says so.
+    /// The rule sets it.
     #[display("rule")]
     Rule,
-    /// The rule doesn't say, so the default stands.
+    /// The rule doesn't set it, so the default applies.
     #[display("default")]
     Default,
-    /// The rule doesn't say, so RFC 9110's meaning of the method stands.
+    /// The rule doesn't set it, so RFC 9110's definition of the method applies.
     #[display("method")]
     Method,
 }
 
-/// Explains what [`matcher::RuleMatcher::decide`] decides.
+/// Explains the decision of [`matcher::RuleMatcher::decide`].
 pub fn explain(matcher: &matcher::RuleMatcher, request: &view::RequestView<'_>) -> RuleExplanation {
     let decision = matcher.decide(request);
     let rules = matcher.rules();
     let end = decision.index.map_or(rules.len(), |index| index as usize);
-    let misses = rules[..end].iter().filter_map(|rule| {
+    let mismatches = rules[..end].iter().filter_map(|rule| {
         let differs = rule.when.first_mismatch(request)?;
         let name = rule.name.clone();
         (differs != condition::ConditionPart::Service).then_some(SkippedRule { name, differs })
     });
-    let passed_over: Vec<SkippedRule> = misses.take(MAX_SKIPPED_RULES).collect();
+    let passed_over: Vec<SkippedRule> = mismatches.take(MAX_SKIPPED_RULES).collect();
     let defaults = outcome::RuleOutcome::default();
     let rule = decision.index.map(|index| &rules[index as usize]);
     let then = rule.map_or(&defaults, |rule| &rule.then);
@@ -152,8 +152,8 @@
     ]
 }
 
-fn field<T>(name: &'static str, value: String, stated: Option<&T>) -> DecidedField {
-    let from = match stated {
+fn field<T>(name: &'static str, value: String, explicit: Option<&T>) -> DecidedField {
+    let from = match explicit {
         Some(_) => FieldSource::Rule,
         None => FieldSource::Default,
     };
--- a/crates/anvil_rules/src/fault.rs
+++ b/crates/anvil_rules/src/fault.rs
@@ -1,4 +1,4 @@
-//! What may be wrong with a rule file, and where.
+//! Errors and warnings about a rule file, with their positions.
 
 use anvil_types::{account, name};
 use derive_more::{Display, Error, From};
@@ -6,7 +6,7 @@
 
 use crate::yaml;
 
-/// Everything that was found wrong with one text, in its order; never empty.
+/// All faults of one document, in the order of the text; never empty.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error, Serialize)]
 #[display("{}", Self::lines(_0))]
 pub struct RuleFaults(#[error(not(source))] pub Vec<RuleFault>);
@@ -18,7 +18,7 @@
     }
 }
 
-/// One thing that is wrong.
+/// One fault.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Serialize)]
 #[display("{file}:{line}:{column}: {field}: {reason}")]
 pub struct RuleFault {
@@ -30,180 +30,182 @@
     pub column: u64,
     /// The field, such as `rules[2].then.deadline`.
     pub field: String,
-    /// What is wrong with it.
-    #[serde(serialize_with = "as_text")]
+    /// Why the field is invalid.
+    #[serde(serialize_with = "serialize_as_text")]
     pub reason: FaultReason,
 }
 
-fn as_text<S>(reason: &FaultReason, serializer: S) -> Result<S::Ok, S::Error>
+fn serialize_as_text<S>(reason: &FaultReason, serializer: S) -> Result<S::Ok, S::Error>
 where
     S: Serializer,
 {
     serializer.collect_str(reason)
 }
 
-/// Why a field was refused.
+/// Why a field is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Display, From)]
 pub enum FaultReason {
-    /// The text is no YAML.
+    /// The text is not valid YAML.
     #[display("{message}")]
     Syntax {
-        /// What the parser said.
+        /// The message of the parser.
         message: String,
     },
-    /// The language has no such field here.
-    #[display("unknown field; the fields here are {}", known.join(", "))]
+    /// The field is not known at this position.
+    #[display("unknown field; expected one of {}", known.join(", "))]
     UnknownField {
-        /// The fields that there are.
+        /// The known fields.
         known: &'static [&'static str],
     },
-    /// A field that must be there isn't.
+    /// A required field is missing.
     #[display("the field {name} is missing")]
     MissingField {
         /// Its name.
         name: &'static str,
     },
-    /// The value is of another type.
+    /// The value has the wrong type.
     #[display("expected {expected}, found {found}")]
     WrongType {
-        /// What the field takes.
+        /// What the field accepts.
         expected: &'static str,
-        /// What stands there.
+        /// The value in the text.
         found: &'static str,
     },
-    /// The word is none of those that the field takes.
-    #[display("{found:?} is none of {}", known.join(", "))]
-    UnknownWord {
-        /// What stands there.
+    /// The value is not one of the keywords of the field.
+    #[display("{found:?} is not one of {}", known.join(", "))]
+    UnknownValue {
+        /// The value in the text.
         found: String,
-        /// The words that there are.
+        /// The accepted keywords.
         known: &'static [&'static str],
     },
-    /// The text can't be read as what the field takes.
+    /// The text does not have the format of the field.
     #[display("{found:?} is not {expected}")]
-    Unreadable {
-        /// What stands there.
+    InvalidFormat {
+        /// The value in the text.
         found: String,
-        /// What the field takes.
+        /// What the field accepts.
         expected: &'static str,
     },
-    /// The value is outside its range.
+    /// The value is outside its accepted range.
     #[display("{found} is outside {min} to {max}")]
     OutOfRange {
-        /// What stands there.
+        /// The value in the text.
         found: String,
-        /// The least value accepted.
+        /// The smallest accepted value.
         min: String,
-        /// The greatest value accepted.
+        /// The largest accepted value.
         max: String,
     },
-    /// The text is no name.
+    /// The text is not a valid name.
     #[display("{reason}")]
     #[from]
-    Name {
-        /// Why.
+    InvalidName {
+        /// Why it is invalid.
         reason: name::NameError,
     },
-    /// Two rules have one name.
+    /// Two rules have the same name.
     #[display("the name {name} is taken by the rule at line {line}")]
     DuplicateName {
         /// The name.
         name: name::RuleName,
-        /// Where its first rule stands.
+        /// The line of the first rule of this name.
         line: u64,
     },
-    /// Two accounts have one name.
+    /// Two accounts have the same name.
     #[display("the name {name} is taken by the account at line {line}")]
     DuplicateAccount {
         /// The name.
         name: name::AccountName,
-        /// Where the first account of it stands.
+        /// The line of the first account of this name.
         line: u64,
     },
-    /// Two accounts hold one key.
+    /// Two accounts have the same key.
     #[display("the account {name} at line {line} holds the same key")]
     SharedKey {
-        /// The account that stands first.
+        /// The first account with the key.
         name: name::AccountName,
-        /// Where it stands.
+        /// Its line.
         line: u64,
     },
-    /// A key is not given by its digest; what stands there is not shown.
+    /// The text is not the digest of a key. It is not shown, since it may be the key itself.
     #[display("{reason}")]
-    Digest {
-        /// What is expected.
+    InvalidDigest {
+        /// Why it is invalid.
         reason: account::DigestError,
     },
-    /// A burst is stated without a rate.
-    #[display("a burst needs a rate beside it")]
-    BurstAlone,
-    /// No part of a split has a weight above zero.
-    #[display("no weight is above zero, so no request could be sent anywhere")]
-    NoWeight,
-    /// The text is no host.
-    #[display("{found:?} is no host; hosts are names without a port, such as portal.example")]
-    Host {
-        /// What stands there.
+    /// A burst is set without a rate.
+    #[display("a burst requires a rate")]
+    BurstWithoutRate,
+    /// No part of a traffic split has a weight above zero.
+    #[display("at least one weight must be above zero")]
+    ZeroWeights,
+    /// The text is not a host.
+    #[display("{found:?} is not a host; hosts are names without a port, such as portal.example")]
+    InvalidHost {
+        /// The value in the text.
         found: String,
     },
-    /// The text is no method.
-    #[display("{found:?} is no method; methods are case-sensitive, such as POST")]
-    Method {
-        /// What stands there.
+    /// The text is not a method.
+    #[display("{found:?} is not a method; methods are case-sensitive, such as POST")]
+    InvalidMethod {
+        /// The value in the text.
         found: String,
     },
-    /// The text is no header name.
-    #[display("{found:?} is no header name")]
-    HeaderName {
-        /// What stands there.
+    /// The text is not a header name.
+    #[display("{found:?} is not a header name")]
+    InvalidHeaderName {
+        /// The value in the text.
         found: String,
     },
-    /// One header is named twice, perhaps in different letter cases.
+    /// A header is listed twice, perhaps in different letter cases.
     #[display("the header {name} is named twice")]
     DuplicateHeader {
         /// Its name, lower case.
         name: String,
     },
-    /// A `*` stands where only the end may have one.
-    #[display("{found:?}: a service takes one '*', at its end")]
-    StarPlace {
-        /// What stands there.
+    /// A service pattern has a `*` that is not at its end.
+    #[display("{found:?}: a service may have one '*', at its end")]
+    MisplacedStar {
+        /// The value in the text.
         found: String,
     },
-    /// The text is no path.
-    #[display("{found:?} is no path; it begins with '/' or '*' and holds no '?', '#' or space")]
-    Path {
-        /// What stands there.
+    /// The text is not a path pattern.
+    #[display(
+        "{found:?} is not a path; it must begin with '/' or '*' and not contain '?', '#' or spaces"
+    )]
+    InvalidPath {
+        /// The value in the text.
         found: String,
     },
     /// The text is too long.
     #[display("longer than {limit} bytes")]
     TooLong {
-        /// The greatest length, in bytes.
+        /// The maximum length, in bytes.
         limit: usize,
     },
     /// The list is too long.
     #[display("more than {limit} entries")]
     TooMany {
-        /// The greatest number of entries.
+        /// The maximum number of entries.
         limit: usize,
     },
-    /// The list holds nothing, so the rule could never match.
+    /// The list is empty, so the rule could never match.
     #[display("the list is empty; leave the field out to match everything")]
     EmptyList,
-    /// One field contradicts another.
+    /// The value exceeds that of another field.
     #[display("{found} is more than the {other} of {limit}")]
     Exceeds {
-        /// What stands there.
+        /// The value in the text.
         found: String,
-        /// The field that bounds it.
+        /// The field that limits it.
         other: &'static str,
-        /// Its value.
+        /// The value of that field.
         limit: String,
     },
 }
 
-/// A rule that no request ever reaches.
+/// A warning about a rule that no request can reach.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Serialize)]
 #[display(
     "{file}:{line}: rule {name} is unreachable: rule {shadowed_by} at line {shadow_line} \
@@ -216,13 +218,13 @@
     pub line: u64,
     /// Its name.
     pub name: name::RuleName,
-    /// The earlier rule.
+    /// The earlier rule that covers it.
     pub shadowed_by: name::RuleName,
     /// The line of the earlier rule.
     pub shadow_line: u64,
 }
 
-/// Collects the faults of one text.
+/// Collects the faults of one document.
 #[derive(Debug)]
 pub(crate) struct FaultList<'a> {
     file: &'a str,
--- a/crates/anvil_rules/src/field.rs
+++ b/crates/anvil_rules/src/field.rs
@@ -1,4 +1,4 @@
-//! Typed reading of one field, with a fault where its value doesn't fit.
+//! Typed access to one field, which reports a fault if its value is invalid.
 
 use std::ops::RangeInclusive;
 use std::time::Duration;
@@ -7,14 +7,14 @@
 
 use crate::{duration, fault, range, yaml};
 
-/// A value with its path in the text, such as `rules[2].then.deadline`.
+/// A value with its path in the document, such as `rules[2].then.deadline`.
 #[derive(Debug)]
 pub(crate) struct NodeField<'a> {
     pub(crate) node: &'a yaml::YamlNode,
     pub(crate) path: String,
 }
 
-/// The fields of a map, all of them known.
+/// The fields of a map.
 #[derive(Debug)]
 pub(crate) struct FieldMap<'a> {
     entries: &'a [yaml::YamlEntry],
@@ -23,7 +23,7 @@
 }
 
 impl<'a> FieldMap<'a> {
-    /// Opens a map; each field outside `known` is a fault.
+    /// Opens a map and adds a fault for each field that is not in `known`.
     pub(crate) fn open(
         field: &NodeField<'a>,
         known: &'static [&'static str],
@@ -44,7 +44,7 @@
         Some(map)
     }
 
-    /// The field of this name, where it is set.
+    /// The field of this name, if it is set.
     pub(crate) fn get(&self, name: &str) -> Option<NodeField<'a>> {
         let entry = self.entries.iter().find(|entry| entry.key == name)?;
         Some(NodeField {
@@ -53,7 +53,7 @@
         })
     }
 
-    /// The field of this name; a fault where it isn't set.
+    /// The field of this name; adds a fault if it isn't set.
     pub(crate) fn require(
         &self,
         name: &'static str,
@@ -62,7 +62,7 @@
         let field = self.get(name);
         if field.is_none() {
             let reason = fault::FaultReason::MissingField { name };
-            faults.add(self.position, or_document(&self.path), reason);
+            faults.add(self.position, path_or_document(&self.path), reason);
         }
         field
     }
@@ -75,23 +75,23 @@
     format!("{path}.{name}")
 }
 
-/// What to call a field in a fault; the whole text has no path of its own.
-fn or_document(path: &str) -> &str {
+/// The path to show in a fault; the root of the document has an empty path.
+fn path_or_document(path: &str) -> &str {
     if path.is_empty() { "document" } else { path }
 }
 
 impl<'a> NodeField<'a> {
     /// Adds a fault about this field.
-    pub(crate) fn fault(&self, reason: fault::FaultReason, faults: &mut fault::FaultList<'_>) {
-        faults.add(self.node.position, or_document(&self.path), reason);
+    pub(crate) fn add_fault(&self, reason: fault::FaultReason, faults: &mut fault::FaultList<'_>) {
+        faults.add(self.node.position, path_or_document(&self.path), reason);
     }
 
-    fn wrong_type(&self, expected: &'static str, faults: &mut fault::FaultList<'_>) {
+    fn add_wrong_type(&self, expected: &'static str, faults: &mut fault::FaultList<'_>) {
         let found = self.node.value.kind();
-        self.fault(fault::FaultReason::WrongType { expected, found }, faults);
+        self.add_fault(fault::FaultReason::WrongType { expected, found }, faults);
     }
 
-    /// Reads text of a form of its own, such as a duration.
+    /// Parses text in a special format, such as a duration.
     fn parsed<T, R>(
         &self,
         expected: &'static str,
@@ -102,42 +102,45 @@
         R: Fn(&str) -> Option<T>,
     {
         let yaml::YamlValue::Text(text) = &self.node.value else {
-            self.wrong_type(expected, faults);
+            self.add_wrong_type(expected, faults);
             return None;
         };
         let value = read(text);
         if value.is_none() {
             let found = text.chars().take(range::MAX_VALUE_BYTES).collect();
-            self.fault(fault::FaultReason::Unreadable { found, expected }, faults);
+            self.add_fault(
+                fault::FaultReason::InvalidFormat { found, expected },
+                faults,
+            );
         }
         value
     }
 
     pub(crate) fn map(&self, faults: &mut fault::FaultList<'_>) -> Option<&'a [yaml::YamlEntry]> {
         let yaml::YamlValue::Map(entries) = &self.node.value else {
-            self.wrong_type("a map", faults);
+            self.add_wrong_type("a map", faults);
             return None;
         };
         Some(entries)
     }
 
-    /// Whether a list stands here.
+    /// Whether the value is a list.
     pub(crate) fn is_list(&self) -> bool {
         matches!(self.node.value, yaml::YamlValue::List(_))
     }
 
-    /// The entries of a list with at most `limit` of them.
+    /// The entries of a list with at most `limit` entries.
     pub(crate) fn list(
         &self,
         limit: usize,
         faults: &mut fault::FaultList<'_>,
     ) -> Option<Vec<Self>> {
         let yaml::YamlValue::List(nodes) = &self.node.value else {
-            self.wrong_type("a list", faults);
+            self.add_wrong_type("a list", faults);
             return None;
         };
         if nodes.len() > limit {
-            self.fault(fault::FaultReason::TooMany { limit }, faults);
+            self.add_fault(fault::FaultReason::TooMany { limit }, faults);
             return None;
         }
         let item = |(index, node)| Self {
@@ -147,7 +150,7 @@
         Some(nodes.iter().enumerate().map(item).collect())
     }
 
-    /// One value or a list of them, at least one.
+    /// The entries of a list that isn't empty, or a single value as its only entry.
     pub(crate) fn one_or_more(&self, faults: &mut fault::FaultList<'_>) -> Vec<Self> {
         if !matches!(self.node.value, yaml::YamlValue::List(_)) {
             return vec![Self {
@@ -157,7 +160,7 @@
         }
         let items = self.list(range::MAX_LIST_ENTRIES, faults);
         if items.as_ref().is_some_and(Vec::is_empty) {
-            self.fault(fault::FaultReason::EmptyList, faults);
+            self.add_fault(fault::FaultReason::EmptyList, faults);
         }
         items.unwrap_or_default()
     }
@@ -165,27 +168,29 @@
     /// Text of at most [`range::MAX_VALUE_BYTES`].
     pub(crate) fn text(&self, faults: &mut fault::FaultList<'_>) -> Option<&'a str> {
         let yaml::YamlValue::Text(text) = &self.node.value else {
-            self.wrong_type("text (in quotes, if it looks like a number)", faults);
+            self.add_wrong_type("text (in quotes, if it looks like a number)", faults);
             return None;
         };
         let limit = range::MAX_VALUE_BYTES;
         if text.len() > limit {
-            self.fault(fault::FaultReason::TooLong { limit }, faults);
+            self.add_fault(fault::FaultReason::TooLong { limit }, faults);
             return None;
         }
         Some(text)
     }
 
-    /// Text that `read` makes something of; what `read` refuses is a fault at this field.
+    /// Parses text by `read`; its error becomes a fault of this field.
     pub(crate) fn read<T, R>(&self, read: R, faults: &mut fault::FaultList<'_>) -> Option<T>
     where
         R: Fn(&str) -> Result<T, fault::FaultReason>,
     {
         let text = self.text(faults)?;
-        read(text).map_err(|reason| self.fault(reason, faults)).ok()
+        read(text)
+            .map_err(|reason| self.add_fault(reason, faults))
+            .ok()
     }
 
-    /// A name, checked by `new`.
+    /// A name, validated by `new`.
     pub(crate) fn name<T, N>(&self, new: N, faults: &mut fault::FaultList<'_>) -> Option<T>
     where
         N: Fn(&str) -> Result<T, name::NameError>,
@@ -195,7 +200,7 @@
 
     pub(crate) fn boolean(&self, faults: &mut fault::FaultList<'_>) -> Option<bool> {
         let yaml::YamlValue::Bool(value) = self.node.value else {
-            self.wrong_type("true or false", faults);
+            self.add_wrong_type("true or false", faults);
             return None;
         };
         Some(value)
@@ -211,10 +216,10 @@
         T: TryFrom<i64>,
     {
         let yaml::YamlValue::Integer(number) = self.node.value else {
-            self.wrong_type("a whole number", faults);
+            self.add_wrong_type("a whole number", faults);
             return None;
         };
-        self.bounded(number, number.to_string(), range, faults)
+        self.check_range(number, number.to_string(), range, faults)
     }
 
     /// A whole number of percent within `range`, such as `10%`.
@@ -229,10 +234,10 @@
         let expected = "a whole number of percent, such as 10%";
         let read = |text: &str| text.strip_suffix('%')?.parse().ok();
         let number: i64 = self.parsed(expected, read, faults)?;
-        self.bounded(number, format!("{number}%"), range, faults)
+        self.check_range(number, format!("{number}%"), range, faults)
     }
 
-    fn bounded<T>(
+    fn check_range<T>(
         &self,
         number: i64,
         found: String,
@@ -249,7 +254,7 @@
                 min: range.start().to_string(),
                 max: range.end().to_string(),
             };
-            self.fault(reason, faults);
+            self.add_fault(reason, faults);
         }
         value
     }
@@ -268,14 +273,14 @@
                 min: duration::format(*range.start()),
                 max: duration::format(*range.end()),
             };
-            self.fault(reason, faults);
+            self.add_fault(reason, faults);
             return None;
         }
         Some(value)
     }
 
-    /// One of the words of `known`, which stand for the values at the same places.
-    pub(crate) fn word<T>(
+    /// One of the keywords in `known`, which correspond to `values` by index.
+    pub(crate) fn keyword<T>(
         &self,
         known: &'static [&'static str],
         values: &[T],
@@ -285,13 +290,13 @@
         T: Copy,
     {
         let text = self.text(faults)?;
-        let position = known.iter().position(|word| *word == text);
+        let position = known.iter().position(|keyword| *keyword == text);
         if position.is_none() {
-            let reason = fault::FaultReason::UnknownWord {
+            let reason = fault::FaultReason::UnknownValue {
                 found: text.to_owned(),
                 known,
             };
-            self.fault(reason, faults);
+            self.add_fault(reason, faults);
         }
         values.get(position?).copied()
     }
--- a/crates/anvil_rules/src/lib.rs
+++ b/crates/anvil_rules/src/lib.rs
@@ -1,11 +1,9 @@
-//! The operators' rules: language, checks, matching, changes and explanation.
+//! The operators' rules: parsing, validation, matching, changes and explanations.
 //!
-//! The language is documented in `docs/RULES.md`, the choices behind it in
-//! `docs/design/rules.md`. Nothing in here reads a file, a clock or a socket: the text comes in,
-//! typed values come out.
+//! `docs/RULES.md` documents the language and `docs/design/rules.md` its design. This crate
+//! performs no I/O and reads no clock: it turns text into typed values.
 
 pub mod account;
-mod chain;
 pub mod change;
 pub mod codec;
 pub mod condition;
@@ -25,6 +23,7 @@
 pub mod path;
 pub mod range;
 pub mod render;
+mod rule_list;
 pub mod service;
 pub mod shadow;
 mod table;
--- a/crates/anvil_rules/src/matcher.rs
+++ b/crates/anvil_rules/src/matcher.rs
@@ -1,7 +1,7 @@
-//! Which rule decides a request.
+//! Finds the rule that decides a request.
 //!
-//! The answer is that of a scan from the first rule to the last, found through an index by
-//! service and path with the method as a mask; see `docs/design/rules.md` for the figures.
+//! The result is that of a scan from the first rule to the last, but an index by service and path,
+//! with a bit mask of methods, avoids the scan. See `docs/design/rules.md` for measurements.
 
 use std::sync::Arc;
 
@@ -9,41 +9,42 @@
 
 use crate::{destination, document, outcome, path, service, table, view};
 
-/// Most index entries of one rule. One whose lists multiply to more is indexed by service alone,
-/// so that no document makes a node hold more than a bounded multiple of its rules.
+/// Maximum number of index entries for the combinations of services and paths in one rule. A rule
+/// with more is indexed by service only, so that the index stays a bounded multiple of the
+/// document.
 const MAX_ENTRIES_PER_RULE: usize = 64;
 
-/// What was decided for a request.
+/// The decision for a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RuleDecision<'a> {
-    /// How the request is to be treated.
+    /// How the request is treated.
     pub treatment: treatment::RuleTreatment,
-    /// The place of the rule in the list, from zero; none where no rule matched.
+    /// The index of the rule in the list, from zero; `None` if no rule matched.
     pub index: Option<u32>,
-    /// The services that the rule sends the request to; none where the caller names the service.
+    /// The services that the rule sends the request to; `None` if the caller names the service.
     pub send_to: Option<&'a destination::RuleDestination>,
-    /// The name of the rule; none where no rule matched.
+    /// The name of the rule; `None` if no rule matched.
     pub name: Option<&'a name::RuleName>,
 }
 
-/// A document made ready for deciding.
+/// A document compiled for matching.
 #[derive(Clone, Debug, Default)]
 pub struct RuleMatcher {
     rules: Vec<Arc<document::NamedRule>>,
     index: ServiceTable,
 }
 
-type ServiceTable = table::KeyTable<PathTable>;
-type PathTable = table::KeyTable<Vec<IndexEntry>>;
+type ServiceTable = table::PrefixTable<PathTable>;
+type PathTable = table::PrefixTable<Vec<IndexEntry>>;
 
-/// A rule to try, in the order of the document within its list.
+/// A candidate rule. Each list of entries is in the order of the document.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct IndexEntry {
     rule: u32,
     methods: MethodMask,
 }
 
-/// A set of methods; all that have no bit of their own share one.
+/// A set of methods; all methods without a bit of their own share one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct MethodMask(u16);
 
@@ -73,7 +74,7 @@
         Self(bits.fold(0, |all, bit| all | bit))
     }
 
-    const fn meets(self, other: Self) -> bool {
+    const fn intersects(self, other: Self) -> bool {
         self.0 & other.0 != 0
     }
 }
@@ -86,7 +87,7 @@
         for (index, rule) in (0_u32..).zip(&rules) {
             collect_keys(index, rule, &mut keys);
         }
-        // Sorted keys are appended one by one; unsorted ones would move half of a table each.
+        // Sorted keys are appended; an unsorted key would move half of a table on average.
         keys.sort_unstable();
         let mut index = ServiceTable::default();
         for (service, path, entry) in &keys {
@@ -101,10 +102,10 @@
         &self.rules
     }
 
-    /// Decides a request by the first rule whose condition holds.
+    /// Decides a request by the first rule whose condition matches.
     ///
-    /// Where none does, the defaults decide, with RFC 9110's meaning of the method for whether a
-    /// run may be repeated.
+    /// If none does, the defaults apply, and RFC 9110's definition of the method determines whether
+    /// the request is idempotent.
     pub fn decide(&self, request: &view::RequestView<'_>) -> RuleDecision<'_> {
         let Some(index) = self.first_match(request) else {
             return RuleDecision {
@@ -135,7 +136,7 @@
         first
     }
 
-    /// The first entry that matches and stands before `bound`.
+    /// The first entry that matches and precedes the rule `bound`.
     fn first_in(
         &self,
         entries: &[IndexEntry],
@@ -146,7 +147,8 @@
         let before = |entry: &&IndexEntry| bound.is_none_or(|bound| entry.rule < bound);
         let mut candidates = entries.iter().take_while(before);
         let found = candidates.find(|entry| {
-            entry.methods.meets(method) && self.rules[entry.rule as usize].when.matches(request)
+            entry.methods.intersects(method)
+                && self.rules[entry.rule as usize].when.matches(request)
         });
         found.map(|entry| entry.rule)
     }
@@ -172,7 +174,7 @@
     }
 }
 
-/// The keys of `patterns`, each once, or the key of everything where there are none.
+/// The distinct keys of `patterns`, or the key that matches everything if there are none.
 fn keys_or_all<'a, P, K>(patterns: &'a [P], key: K) -> Vec<table::TableKey<'a>>
 where
     K: Fn(&'a P) -> table::TableKey<'a>,
--- a/crates/anvil_rules/src/method.rs
+++ b/crates/anvil_rules/src/method.rs
@@ -1,9 +1,9 @@
-//! What RFC 9110 says about methods.
+//! HTTP methods and tokens as defined by RFC 9110.
 
-/// Tells whether RFC 9110, section 9.2.2, defines `method` as idempotent.
+/// Whether RFC 9110, section 9.2.2, defines `method` as idempotent.
 ///
-/// Methods are case-sensitive, and one that the RFC doesn't name is taken as not idempotent: a
-/// wrong guess then costs a retry, never a second run.
+/// Methods are case-sensitive, and a method that the RFC doesn't define counts as not idempotent.
+/// If that is wrong, a retry is lost, but no request runs twice.
 pub fn is_idempotent(method: &str) -> bool {
     matches!(
         method,
@@ -11,7 +11,7 @@
     )
 }
 
-/// Tells whether `text` is a token of RFC 9110, section 5.6.2, as method and field names must be.
+/// Whether `text` is a token of RFC 9110, section 5.6.2, as method and field names must be.
 pub fn is_token(text: &str) -> bool {
     !text.is_empty() && text.bytes().all(is_token_byte)
 }
--- a/crates/anvil_rules/src/outcome.rs
+++ b/crates/anvil_rules/src/outcome.rs
@@ -1,4 +1,4 @@
-//! The `then` of a rule.
+//! The `then` part of a rule.
 
 use std::time::Duration;
 
@@ -7,47 +7,47 @@
 
 use crate::{destination, method};
 
-/// What a rule says about matching requests; a field that it leaves out takes its safe default.
+/// How a rule treats matching requests; an unset field has its safe default.
 ///
-/// The defaults stand in [`treatment::RuleTreatment`], the ranges in [`crate::range`], both with
-/// their reasons in `docs/RULES.md`.
+/// [`treatment::RuleTreatment`] defines the defaults and [`crate::range`] the accepted ranges;
+/// `docs/RULES.md` gives the reasons.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RuleOutcome {
-    /// Importance under overload.
+    /// Priority class under overload.
     pub class: Option<context::PriorityClass>,
-    /// Whether a run may be repeated; where left out, the method decides.
+    /// Whether the request may run more than once; if unset, the method decides.
     pub idempotent: Option<bool>,
-    /// Retries that the whole chain may spend beyond first attempts.
+    /// Retries that the whole call chain may use beyond first attempts.
     pub chain_retries: Option<u16>,
-    /// Share of a node's first attempts that it may add as retries, in percent.
+    /// Retries that a node may send, in percent of its first attempts.
     pub retry_ratio_percent: Option<u8>,
-    /// First pause before a retry.
+    /// First delay before a retry.
     pub backoff: Option<Duration>,
-    /// Longest time that a root request may take.
+    /// Deadline of a root request.
     pub deadline: Option<Duration>,
     /// Longest wait in the queue of a target's node.
     pub queue_wait: Option<Duration>,
     /// Targets that one request may crash before it is quarantined.
     pub crash_limit: Option<u8>,
-    /// How long a quarantined request stays refused.
+    /// How long a quarantined request is refused.
     pub quarantine: Option<Duration>,
-    /// Targets that one call may be sent to.
+    /// Targets that one call may be sent to, including the first attempt.
     pub attempts: Option<u16>,
-    /// Time within which an answer is worth most.
+    /// The latency objective: answers within this time have their full value.
     pub objective: Option<Duration>,
-    /// The services that matching requests go to; left out, the caller names the service.
+    /// The services that matching requests are sent to; if unset, the caller names the service.
     pub send_to: Option<destination::RuleDestination>,
-    /// Whether matching requests are served at all.
+    /// Whether matching requests are served, refused or answered as not found.
     pub action: Option<treatment::RuleAction>,
-    /// Whether matching requests need no key of a client account.
+    /// Whether matching requests are served without the key of a client account.
     pub public: Option<bool>,
 }
 
 impl RuleOutcome {
     /// The treatment of a matching request with this method.
     ///
-    /// Where the rule doesn't say whether a run may be repeated, RFC 9110's meaning of the method
-    /// does, so that an operator who forgets the field never makes a submission repeatable.
+    /// If the rule doesn't set `idempotent`, RFC 9110's definition of the method decides, so that
+    /// an operator who forgets the field doesn't make a submission repeatable.
     pub fn treatment(&self, method: &str) -> treatment::RuleTreatment {
         let idempotent = self
             .idempotent
--- a/crates/anvil_rules/src/parse.rs
+++ b/crates/anvil_rules/src/parse.rs
@@ -1,4 +1,4 @@
-//! From YAML text to a checked document.
+//! Parsing of YAML text into a validated document.
 
 use std::sync::Arc;
 
@@ -7,43 +7,44 @@
 use crate::{account, document, fault, field, shadow, yaml};
 use crate::{parse_account, parse_then, parse_when};
 
-/// Fields of the whole text.
+/// Fields of a document.
 const DOCUMENT_FIELDS: [&str; 2] = ["rules", "accounts"];
 
 /// Fields of one rule.
 const RULE_FIELDS: [&str; 3] = ["name", "when", "then"];
 
-/// A document that may be accepted, and what is odd about it.
+/// A valid document with warnings about it.
 #[derive(Clone, Debug)]
 pub struct CheckedRules {
     /// The rules.
     pub document: document::RuleDocument,
-    /// Rules that no request reaches.
+    /// Warnings about rules that no request can reach.
     pub warnings: Vec<fault::RuleWarning>,
 }
 
-/// One rule as read, with its line for later faults.
+/// A parsed rule with its line for later faults.
 #[derive(Debug)]
 pub(crate) struct LocatedRule {
     pub(crate) rule: Arc<document::NamedRule>,
     pub(crate) line: u64,
 }
 
-/// The whole text as read.
+/// A parsed document with the lines of its rules.
 #[derive(Debug, Default)]
 struct LocatedDocument {
     rules: Vec<LocatedRule>,
     accounts: Option<Arc<account::AccountTable>>,
 }
 
-/// Reads and checks the whole text, without looking for unreachable rules.
+/// Parses and validates a document, without checking for unreachable rules.
 ///
-/// `file` only names the text in faults. Fails with every fault found, in the order of the text.
+/// `file` is the name of the text in faults. The error contains every fault, in the order of the
+/// text.
 pub fn parse_rules(file: &str, text: &str) -> Result<document::RuleDocument, fault::RuleFaults> {
     read_located(file, text).map(into_document)
 }
 
-/// Does what [`parse_rules`] does, and warns of unreachable rules.
+/// Parses and validates a document like [`parse_rules`], and warns of unreachable rules.
 pub fn check_rules(file: &str, text: &str) -> Result<CheckedRules, fault::RuleFaults> {
     let located = read_located(file, text)?;
     let warnings = shadow::find_unreachable(file, &located.rules);
--- a/crates/anvil_rules/src/parse_account.rs
+++ b/crates/anvil_rules/src/parse_account.rs
@@ -1,4 +1,4 @@
-//! Reading the client accounts of a document.
+//! Parsing of the client accounts in a document.
 
 use std::sync::Arc;
 
@@ -6,16 +6,16 @@
 
 use crate::{account as table, fault, field, parse_then, range, yaml};
 
-/// Fields of one account, in the order in which documents are written.
+/// Fields of one account, in the order in which they are rendered.
 const FIELDS: [&str; 5] = ["name", "class", "keys", "rate", "burst"];
 
-/// One account as read, with its line for later faults.
+/// A parsed account with its position for later faults.
 struct LocatedAccount {
     record: table::AccountRecord,
     position: yaml::TextPosition,
 }
 
-/// Reads the list of accounts; none where a fault leaves no whole table.
+/// Parses the list of accounts; returns `None` if the table is invalid.
 pub(crate) fn read_accounts(
     field: &field::NodeField<'_>,
     faults: &mut fault::FaultList<'_>,
@@ -37,8 +37,8 @@
     let name = map.require("name", faults);
     let name = name.and_then(|field| field.name(name::AccountName::new, faults));
     let class = map.get("class").and_then(|field| {
-        field.word(
-            &parse_then::CLASS_WORDS,
+        field.keyword(
+            &parse_then::CLASS_KEYWORDS,
             &context::PriorityClass::ALL,
             faults,
         )
@@ -58,7 +58,7 @@
     })
 }
 
-/// Reads digests of keys. What stands there is not shown in a fault: it may be the key itself.
+/// Parses digests of keys. Faults don't quote the text, since it may be the key itself.
 fn read_keys(
     field: &field::NodeField<'_>,
     faults: &mut fault::FaultList<'_>,
@@ -66,7 +66,7 @@
     let items = field.list(table::MAX_KEYS_PER_ACCOUNT, faults)?;
     let read = |text: &str| {
         let digest = account::KeyDigest::parse(text);
-        digest.map_err(|reason| fault::FaultReason::Digest { reason })
+        digest.map_err(|reason| fault::FaultReason::InvalidDigest { reason })
     };
     let digests = items.iter().filter_map(|item| item.read(read, faults));
     Some(digests.collect())
@@ -79,7 +79,7 @@
     let rate = map.get("rate");
     let burst = map.get("burst");
     if let (None, Some(burst)) = (&rate, &burst) {
-        burst.fault(fault::FaultReason::BurstAlone, faults);
+        burst.add_fault(fault::FaultReason::BurstWithoutRate, faults);
         return None;
     }
     let rate = rate.and_then(|field| field.integer(&range::ACCOUNT_RATE, faults))?;
--- a/crates/anvil_rules/src/parse_then.rs
+++ b/crates/anvil_rules/src/parse_then.rs
@@ -1,4 +1,4 @@
-//! Reading the `then` of a rule.
+//! Parsing of the `then` part of a rule.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 
 use crate::{destination, duration, fault, field, outcome, range};
 
-/// Fields of an outcome, in the order in which documents are written.
+/// Fields of an outcome, in the order in which they are rendered.
 const FIELDS: [&str; 14] = [
     "action",
     "public",
@@ -24,23 +24,23 @@
     "quarantine",
 ];
 
-/// Words for [`context::PriorityClass::ALL`].
-pub(crate) const CLASS_WORDS: [&str; 4] = ["low", "normal", "high", "critical"];
+/// Keywords for [`context::PriorityClass::ALL`], in the same order.
+pub(crate) const CLASS_KEYWORDS: [&str; 4] = ["low", "normal", "high", "critical"];
 
-/// Words for [`ACTIONS`].
-const ACTION_WORDS: [&str; 3] = ["serve", "refuse", "not-found"];
+/// Keywords for [`ACTIONS`], in the same order.
+const ACTION_KEYWORDS: [&str; 3] = ["serve", "refuse", "not-found"];
 
-/// Actions, in the order of their words.
+/// All actions.
 const ACTIONS: [treatment::RuleAction; 3] = [
     treatment::RuleAction::Serve,
     treatment::RuleAction::Refuse,
     treatment::RuleAction::NotFound,
 ];
 
-/// Fields of one part of a split.
+/// Fields of one part of a traffic split.
 const PART_FIELDS: [&str; 2] = ["service", "weight"];
 
-/// Reads an outcome; a field with faults is left out.
+/// Parses an outcome; an invalid field is left unset.
 pub(crate) fn read_outcome(
     field: &field::NodeField<'_>,
     faults: &mut fault::FaultList<'_>,
@@ -51,7 +51,7 @@
     let outcome = outcome::RuleOutcome {
         class: map
             .get("class")
-            .and_then(|field| field.word(&CLASS_WORDS, &context::PriorityClass::ALL, faults)),
+            .and_then(|field| field.keyword(&CLASS_KEYWORDS, &context::PriorityClass::ALL, faults)),
         idempotent: map
             .get("idempotent")
             .and_then(|field| field.boolean(faults)),
@@ -77,7 +77,7 @@
         quarantine: read_duration(&map, "quarantine", &range::QUARANTINE, faults),
         action: map
             .get("action")
-            .and_then(|field| field.word(&ACTION_WORDS, &ACTIONS, faults)),
+            .and_then(|field| field.keyword(&ACTION_KEYWORDS, &ACTIONS, faults)),
         public: map.get("public").and_then(|field| field.boolean(faults)),
     };
     refuse_beyond_deadline(&map, "backoff", outcome.backoff, &outcome, faults);
@@ -85,7 +85,7 @@
     outcome
 }
 
-/// Reads a service, or a list of services with weights of which at least one is above zero.
+/// Parses a service, or a list of services with weights of which at least one is above zero.
 fn read_destination(
     field: &field::NodeField<'_>,
     faults: &mut fault::FaultList<'_>,
@@ -102,7 +102,7 @@
         return None;
     }
     if parts.iter().all(|part| part.weight == 0) {
-        field.fault(fault::FaultReason::NoWeight, faults);
+        field.add_fault(fault::FaultReason::ZeroWeights, faults);
         return None;
     }
     Some(destination::RuleDestination::Split(parts))
@@ -132,7 +132,8 @@
     map.get(name)?.duration(range, faults)
 }
 
-/// A wait beyond the deadline never takes place, so whoever wrote it meant something else.
+/// Adds a fault if a wait is longer than the deadline. Such a wait can never elapse, so it must be
+/// a mistake.
 fn refuse_beyond_deadline(
     map: &field::FieldMap<'_>,
     name: &str,
@@ -149,6 +150,6 @@
             other: "deadline",
             limit: duration::format(deadline),
         };
-        field.fault(reason, faults);
+        field.add_fault(reason, faults);
     }
 }
--- a/crates/anvil_rules/src/parse_when.rs
+++ b/crates/anvil_rules/src/parse_when.rs
@@ -1,4 +1,4 @@
-//! Reading the `when` of a rule.
+//! Parsing of the `when` part of a rule.
 
 use anvil_types::name;
 
@@ -7,10 +7,10 @@
 /// Fields of a condition.
 const FIELDS: [&str; 5] = ["host", "service", "method", "path", "headers"];
 
-/// Fields of what must hold for one header.
+/// Fields of the condition on one header.
 const HEADER_FIELDS: [&str; 2] = ["equals", "present"];
 
-/// Reads a condition; a part with faults is left empty.
+/// Parses a condition; an invalid part is left empty.
 pub(crate) fn read_condition(
     field: &field::NodeField<'_>,
     faults: &mut fault::FaultList<'_>,
@@ -49,7 +49,7 @@
     let forbidden = |c: char| c.is_whitespace() || c.is_control() || "/?#@*".contains(c);
     if text.is_empty() || text.contains(forbidden) {
         let found = text.to_owned();
-        return Err(fault::FaultReason::Host { found });
+        return Err(fault::FaultReason::InvalidHost { found });
     }
     Ok(text.to_ascii_lowercase())
 }
@@ -62,7 +62,7 @@
             Ok(service::ServicePattern::Exact(found()))
         }
         Some((_, rest)) if !rest.is_empty() => {
-            Err(fault::FaultReason::StarPlace { found: found() })
+            Err(fault::FaultReason::MisplacedStar { found: found() })
         }
         Some(("", _)) => Ok(service::ServicePattern::Prefix(String::new())),
         Some((prefix, _)) => {
@@ -75,7 +75,7 @@
 fn read_method(text: &str) -> Result<String, fault::FaultReason> {
     let found = text.to_owned();
     if !method::is_token(text) || text.bytes().any(|byte| byte.is_ascii_lowercase()) {
-        return Err(fault::FaultReason::Method { found });
+        return Err(fault::FaultReason::InvalidMethod { found });
     }
     Ok(found)
 }
@@ -85,7 +85,7 @@
     let forbidden = |c: char| c.is_whitespace() || c.is_control() || c == '?' || c == '#';
     if !begins || text.contains(forbidden) {
         let found = text.to_owned();
-        return Err(fault::FaultReason::Path { found });
+        return Err(fault::FaultReason::InvalidPath { found });
     }
     Ok(path::PathPattern::new(text))
 }
@@ -105,7 +105,7 @@
         };
         if !method::is_token(&entry.key) {
             let found = entry.key.clone();
-            item.fault(fault::FaultReason::HeaderName { found }, faults);
+            item.add_fault(fault::FaultReason::InvalidHeaderName { found }, faults);
             continue;
         }
         let Some(test) = read_header_test(&item, faults) else {
@@ -114,7 +114,7 @@
         let name = entry.key.to_ascii_lowercase();
         match headers.binary_search_by(|header: &condition::HeaderCondition| header.name.cmp(&name))
         {
-            Ok(_) => item.fault(fault::FaultReason::DuplicateHeader { name }, faults),
+            Ok(_) => item.add_fault(fault::FaultReason::DuplicateHeader { name }, faults),
             Err(at) => headers.insert(at, condition::HeaderCondition { name, test }),
         }
     }
--- a/crates/anvil_rules/src/path.rs
+++ b/crates/anvil_rules/src/path.rs
@@ -1,32 +1,32 @@
-//! Which paths a rule speaks of.
+//! Path patterns.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
 use crate::table;
 
-/// What matches any run of characters within one segment.
+/// The wildcard for any characters within one segment.
 const STAR: u8 = b'*';
 
-/// What separates segments.
+/// The separator of segments.
 const SLASH: u8 = b'/';
 
-/// One path, or all of one form.
+/// A pattern that matches one path or a set of paths.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum PathPattern {
-    /// This path.
+    /// Exactly this path.
     #[display("{_0}")]
     Exact(String),
-    /// Paths that begin with this text; written with `**` at its end.
+    /// Paths that begin with this text; written as the text followed by `**`.
     #[display("{_0}**")]
     Prefix(String),
-    /// Paths of this form: `*` stands for any run of characters without `/`, `**` for any run.
+    /// Paths of this form: `*` matches any characters except `/`, and `**` any characters.
     #[display("{_0}")]
     Glob(String),
 }
 
 impl PathPattern {
-    /// Reads a pattern as operators write it.
+    /// Parses a pattern as written in a rule.
     pub fn new(text: &str) -> Self {
         match text.find('*') {
             None => Self::Exact(text.to_owned()),
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Tells whether the pattern matches `path`, which comes without its query.
+    /// Whether the pattern matches `path`, which must not contain a query.
     pub fn matches(&self, path: &str) -> bool {
         match self {
             Self::Exact(text) => text == path,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The key under which the pattern stands in an index.
+    /// The key of the pattern in an index.
     pub(crate) fn key(&self) -> table::TableKey<'_> {
         match self {
             Self::Exact(text) => table::TableKey::Exact(text),
@@ -52,7 +52,7 @@
         }
     }
 
-    /// The text that every matching path begins with.
+    /// The literal text that every matching path begins with.
     pub fn literal_prefix(&self) -> &str {
         match self {
             Self::Exact(text) | Self::Prefix(text) => text,
@@ -60,9 +60,9 @@
         }
     }
 
-    /// Tells whether every path that `other` matches is surely matched by this pattern too.
+    /// Whether this pattern provably matches every path that `other` matches.
     ///
-    /// Two different globs are never compared, so a `false` may be wrong and a `true` never is.
+    /// Two different globs are not compared, so a `false` may be wrong; a `true` is always right.
     pub fn covers(&self, other: &Self) -> bool {
         match (self, other) {
             (Self::Prefix(own), _) => other.literal_prefix().starts_with(own.as_str()),
@@ -72,8 +72,8 @@
     }
 }
 
-/// Matches in time linear in the product of both lengths: only the last `*` and the last `**` are
-/// ever returned to, so no glob makes a node backtrack exponentially.
+/// Matches a glob in time proportional to the product of both lengths: it backtracks only to the
+/// last `*` and the last `**`, so no glob causes exponential backtracking.
 fn glob_matches(glob: &[u8], path: &[u8]) -> bool {
     let mut cursor = GlobCursor::new(glob, path);
     loop {
@@ -83,17 +83,17 @@
     }
 }
 
-/// How far a glob and a path have been compared.
+/// The rest of a glob and of a path that are still to be compared.
 struct GlobCursor<'a> {
     glob: &'a [u8],
     path: &'a [u8],
-    /// Behind the last `*` since the last `**`.
-    single: Option<ResumePoint<'a>>,
-    /// Behind the last `**`.
-    double: Option<ResumePoint<'a>>,
+    /// Where to resume after the last `*` since the last `**`.
+    after_star: Option<ResumePoint<'a>>,
+    /// Where to resume after the last `**`.
+    after_double_star: Option<ResumePoint<'a>>,
 }
 
-/// Where to go on when what follows a star doesn't fit: the star takes in one byte more.
+/// Where matching resumes if the glob after a star doesn't match: the star consumes one more byte.
 #[derive(Clone, Copy)]
 struct ResumePoint<'a> {
     glob: &'a [u8],
@@ -105,27 +105,27 @@
         Self {
             glob,
             path,
-            single: None,
-            double: None,
+            after_star: None,
+            after_double_star: None,
         }
     }
 
-    /// Compares the next byte or star; tells the verdict once it is known.
+    /// Processes the next byte or star; returns the result once it is known.
     fn step(&mut self) -> Option<bool> {
         match (self.glob, self.path) {
             ([STAR, STAR, rest @ ..], _) => {
                 self.glob = rest;
-                self.single = None;
-                self.double = Some(self.here());
+                self.after_star = None;
+                self.after_double_star = Some(self.resume_point());
                 None
             }
             ([STAR, rest @ ..], _) => {
                 self.glob = rest;
-                self.single = Some(self.here());
+                self.after_star = Some(self.resume_point());
                 None
             }
             ([], []) => Some(true),
-            ([wanted, glob @ ..], [found, path @ ..]) if wanted == found => {
+            ([expected, glob @ ..], [found, path @ ..]) if expected == found => {
                 self.glob = glob;
                 self.path = path;
                 None
@@ -134,24 +134,24 @@
         }
     }
 
-    const fn here(&self) -> ResumePoint<'a> {
+    const fn resume_point(&self) -> ResumePoint<'a> {
         ResumePoint {
             glob: self.glob,
             path: self.path,
         }
     }
 
-    /// Returns to the last star that can take in one byte more; where there is none, nothing fits.
+    /// Backtracks to the last star that can consume one more byte; without one, the match fails.
     fn resume(&mut self) -> Option<bool> {
-        let within_segment = |point: ResumePoint<'a>| match point.path {
+        let advance_in_segment = |point: ResumePoint<'a>| match point.path {
             [SLASH, ..] => None,
-            _ => point.further(),
+            _ => point.advanced(),
         };
-        self.single = self.single.and_then(within_segment);
-        if self.single.is_none() {
-            self.double = self.double.and_then(ResumePoint::further);
+        self.after_star = self.after_star.and_then(advance_in_segment);
+        if self.after_star.is_none() {
+            self.after_double_star = self.after_double_star.and_then(ResumePoint::advanced);
         }
-        let Some(point) = self.single.or(self.double) else {
+        let Some(point) = self.after_star.or(self.after_double_star) else {
             return Some(false);
         };
         self.glob = point.glob;
@@ -161,8 +161,8 @@
 }
 
 impl ResumePoint<'_> {
-    /// The same point with one byte of the path taken in; none at the end of the path.
-    fn further(self) -> Option<Self> {
+    /// The same point after one more byte of the path, or `None` at the end of the path.
+    fn advanced(self) -> Option<Self> {
         let (_, path) = self.path.split_first()?;
         let glob = self.glob;
         Some(Self { glob, path })
--- a/crates/anvil_rules/src/render.rs
+++ b/crates/anvil_rules/src/render.rs
@@ -1,7 +1,7 @@
-//! From a document back to YAML text.
+//! Rendering of a document as YAML.
 //!
-//! Only changes are kept, not the text that an operator sent, so the text shown is written anew:
-//! comments are lost, and reading it again gives an equal document.
+//! Only changes are stored, not the text that an operator sent. So the rendered text has lost its
+//! comments, but parsing it gives an equal document.
 
 use anvil_types::{context, treatment};
 use serde::{Serialize, Serializer};
@@ -117,15 +117,20 @@
     }
 }
 
-/// Writes a document as YAML that [`crate::parse::parse_rules`] reads back to an equal one.
+/// Renders a document as YAML that [`crate::parse::parse_rules`] parses to an equal one.
 pub fn to_yaml(document: &document::RuleDocument) -> String {
     let rules = document.rules().iter().map(|rule| rule_text(rule));
     let accounts = document.accounts().map(|table| table.accounts());
     let text = DocumentText {
         rules: rules.collect(),
-        accounts: accounts.map(|accounts| accounts.iter().map(|one| account_text(one)).collect()),
+        accounts: accounts.map(|accounts| {
+            accounts
+                .iter()
+                .map(|account| account_text(account))
+                .collect()
+        }),
     };
-    // Writing strings, numbers and maps with text keys into memory has no way to fail.
+    // Serializing strings, numbers and maps with text keys into memory can't fail.
     serde_saphyr::to_string(&text).unwrap_or_default()
 }
 
@@ -136,7 +141,7 @@
     serializer.collect_map(headers.iter().map(|(name, test)| (name, test)))
 }
 
-/// Keys are written as digests, the only form that is known of them.
+/// Keys are rendered as digests, since the keys themselves are not stored.
 fn account_text(record: &account::AccountRecord) -> AccountText<'_> {
     AccountText {
         name: record.name.as_str(),
--- a/crates/anvil_rules/src/service.rs
+++ b/crates/anvil_rules/src/service.rs
@@ -1,23 +1,23 @@
-//! Which services a rule speaks of.
+//! Service patterns.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
 use crate::table;
 
-/// One service, or all whose names begin alike.
+/// A pattern that matches one service or all services with a prefix.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum ServicePattern {
     /// The service of this name.
     #[display("{_0}")]
     Exact(String),
-    /// Services whose names begin with this text; the empty text stands for all.
+    /// Services whose names begin with this text; the empty text matches all.
     #[display("{_0}*")]
     Prefix(String),
 }
 
 impl ServicePattern {
-    /// Tells whether the pattern matches `service`.
+    /// Whether the pattern matches `service`.
     pub fn matches(&self, service: &str) -> bool {
         match self {
             Self::Exact(name) => name == service,
@@ -25,7 +25,7 @@
         }
     }
 
-    /// The key under which the pattern stands in an index.
+    /// The key of the pattern in an index.
     pub(crate) fn key(&self) -> table::TableKey<'_> {
         match self {
             Self::Exact(name) => table::TableKey::Exact(name),
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Tells whether every service that `other` matches is matched by this pattern too.
+    /// Whether this pattern matches every service that `other` matches.
     pub fn covers(&self, other: &Self) -> bool {
         match (self, other) {
             (Self::Exact(own), Self::Exact(name)) => own == name,
--- a/crates/anvil_rules/src/shadow.rs
+++ b/crates/anvil_rules/src/shadow.rs
@@ -1,10 +1,10 @@
-//! Rules that no request ever reaches.
+//! Detection of rules that no request can reach.
 
 use crate::{condition, fault, parse, service, table};
 
-/// Warns of each rule whose condition an earlier rule covers alone.
+/// Returns a warning for each rule whose condition is covered by a single earlier rule.
 ///
-/// A rule that several earlier ones cover only together isn't found; see
+/// A rule that only several earlier rules together cover isn't detected; see
 /// `docs/design/rules.md`.
 pub(crate) fn find_unreachable(
     file: &str,
@@ -28,11 +28,11 @@
     warnings
 }
 
-/// Places of the rules seen so far by their services, because comparing each rule with each
-/// earlier one took most of a second at [`crate::document::MAX_RULES`] rules.
+/// The indices of the preceding rules by service. Comparing each rule with every earlier one took
+/// most of a second at [`crate::document::MAX_RULES`] rules.
 #[derive(Default)]
 struct EarlierRules {
-    by_service: table::KeyTable<Vec<usize>>,
+    by_service: table::PrefixTable<Vec<usize>>,
 }
 
 impl EarlierRules {
@@ -45,10 +45,10 @@
         }
     }
 
-    /// The first rule seen that covers `when`.
+    /// The first preceding rule that covers `when`.
     ///
-    /// Whatever covers all services of `when` covers the first of them, so only those that do
-    /// are compared.
+    /// A rule that covers all services of `when` covers the first of them, so only rules for that
+    /// service are compared.
     fn find_covering(
         &self,
         located: &[parse::LocatedRule],
@@ -56,8 +56,8 @@
     ) -> Option<usize> {
         let mut first: Option<usize> = None;
         let covers = |index: &&usize| located[**index].rule.when.covers(when);
-        let visit = |places: &Vec<usize>| {
-            let found = places.iter().find(covers).copied();
+        let visit = |indices: &Vec<usize>| {
+            let found = indices.iter().find(covers).copied();
             first = found.into_iter().chain(first).min();
         };
         match when.services.first().map(service::ServicePattern::key) {
--- a/crates/anvil_rules/src/table.rs
+++ b/crates/anvil_rules/src/table.rs
@@ -1,28 +1,28 @@
-//! Values by exact text or by prefix, in sorted vectors.
+//! A map from exact texts and prefixes to values, stored in sorted vectors.
 
-/// A text that stands for itself or for all texts that begin with it.
+/// A key that matches one text or all texts with a prefix.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum TableKey<'a> {
-    /// The text itself.
+    /// Matches this text.
     Exact(&'a str),
-    /// All texts that begin with this one; the empty one stands for all.
+    /// Matches all texts that begin with this one; the empty prefix matches every text.
     Prefix(&'a str),
 }
 
-/// The key that stands for all texts.
+/// The key that matches every text.
 pub(crate) const MATCH_ALL: TableKey<'static> = TableKey::Prefix("");
 
-/// Finds the values of all keys that stand for a text, with one binary search for the text and
-/// one for each length that a prefix has.
+/// Finds the values of all keys that match a text, with one binary search for the text itself and
+/// one for each distinct length of the prefixes.
 #[derive(Clone, Debug)]
-pub(crate) struct KeyTable<V> {
+pub(crate) struct PrefixTable<V> {
     exact: Vec<(Box<str>, V)>,
     prefixes: Vec<(Box<str>, V)>,
-    /// Lengths of the prefixes, sorted, each once.
+    /// The distinct lengths of the prefixes, sorted.
     lengths: Vec<usize>,
 }
 
-impl<V> Default for KeyTable<V> {
+impl<V> Default for PrefixTable<V> {
     fn default() -> Self {
         Self {
             exact: Vec::new(),
@@ -32,13 +32,13 @@
     }
 }
 
-impl<V> KeyTable<V>
+impl<V> PrefixTable<V>
 where
     V: Default,
 {
-    /// The value of `key`, made where there is none.
+    /// The value of `key`, which is inserted if there is none.
     ///
-    /// Cheap where keys come in their order, as each new one then stands at the end.
+    /// This is cheap if keys are inserted in sorted order, since each new one is appended then.
     pub(crate) fn entry(&mut self, key: TableKey<'_>) -> &mut V {
         match key {
             TableKey::Exact(text) => entry_in(&mut self.exact, text),
@@ -52,8 +52,8 @@
     }
 }
 
-impl<V> KeyTable<V> {
-    /// Calls `visit` with the value of each key that stands for `text`.
+impl<V> PrefixTable<V> {
+    /// Calls `visit` with the value of each key that matches `text`.
     pub(crate) fn for_each<F>(&self, text: &str, mut visit: F)
     where
         F: FnMut(&V),
@@ -64,7 +64,7 @@
         self.for_each_prefix(text, visit);
     }
 
-    /// Calls `visit` with the value of each key that stands for all texts that begin with `text`.
+    /// Calls `visit` with the value of each key that matches every text that begins with `text`.
     pub(crate) fn for_each_prefix<F>(&self, text: &str, mut visit: F)
     where
         F: FnMut(&V),
--- a/crates/anvil_rules/src/view.rs
+++ b/crates/anvil_rules/src/view.rs
@@ -1,15 +1,15 @@
-//! The parts of a request that conditions may read, borrowed.
+//! The parts of a request that conditions can match.
 
 use anvil_wire::call;
 
-/// A request as the matcher sees it; nothing is copied.
+/// The parts of a request that conditions can match, borrowed without copying.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestView<'a> {
-    /// The service asked for.
+    /// The requested service.
     pub service: &'a str,
     /// HTTP method, as sent.
     pub method: &'a str,
-    /// Path without its query, which conditions don't see.
+    /// Path without its query, which conditions ignore.
     pub path: &'a str,
     /// Header lines in order, names in lower case.
     pub headers: &'a [call::HeaderLine],
@@ -26,7 +26,7 @@
         }
     }
 
-    /// The host that the caller asked, without its port; none where it named none.
+    /// The host that the caller requested, without its port, if it sent one.
     pub fn host(&self) -> Option<&'a str> {
         let line = self.headers.iter().find(|line| line.name == "host")?;
         let text = std::str::from_utf8(&line.value).ok()?.trim();
@@ -34,7 +34,7 @@
     }
 }
 
-/// The host up to its port; the colons of an address in brackets are no port.
+/// Removes the port from a host, but not a part of an IPv6 address in brackets.
 fn without_port(host: &str) -> &str {
     match host.rsplit_once(':') {
         Some((name, port)) if port.bytes().all(|byte| byte.is_ascii_digit()) => name,
@@ -42,10 +42,10 @@
     }
 }
 
-/// The path up to its query.
+/// Removes the query from a path.
 ///
-/// It is compared as sent, without decoding: two spellings of one path are two paths to a rule,
-/// and the target decides whether they mean the same.
+/// Paths are compared as sent, without percent-decoding: two encodings of a path are two different
+/// paths to a rule, and the target decides whether they are equivalent.
 pub fn without_query(path: &str) -> &str {
     let end = path.bytes().position(|byte| byte == b'?' || byte == b'#');
     end.map_or(path, |end| &path[..end])
--- a/crates/anvil_rules/src/yaml.rs
+++ b/crates/anvil_rules/src/yaml.rs
@@ -1,7 +1,8 @@
-//! YAML as a tree that knows its lines.
+//! YAML as a tree with positions.
 //!
-//! Reading straight into types would stop at the first fault; operators want all of them at once,
-//! so the text becomes a tree first and is checked field by field, see `docs/design/rules.md`.
+//! Deserializing directly into types would stop at the first fault, but operators want all of them
+//! at once. So the text is parsed into a tree that is then checked field by field; see
+//! `docs/design/rules.md`.
 
 use std::fmt;
 
@@ -9,21 +10,21 @@
 use serde::{Deserialize, Deserializer};
 use serde_saphyr::{MergeKeyPolicy, Spanned, options};
 
-/// Largest text read, in bytes; the limits below are enough for [`crate::document::MAX_RULES`]
-/// rules, and no text within them takes more than a second to check.
+/// Maximum size of a text, in bytes. This limit and those below allow
+/// [`crate::document::MAX_RULES`] rules, and no text within them takes more than a second to check.
 pub const MAX_TEXT_BYTES: usize = 4 * 1024 * 1024;
 
-/// Most scalars, lists and maps of one text.
+/// Maximum number of scalars, lists and maps in a text.
 const MAX_NODES: usize = 1_000_000;
 
-/// Most parser events of one text; a list or a map takes two.
+/// Maximum number of parser events in a text; a list or a map takes two.
 const MAX_EVENTS: usize = 2 * MAX_NODES;
 
-/// Most parser events that aliases may repeat. A few hundred bytes of aliases of aliases stand for
-/// billions of values and would hold a node up for seconds; real files share a few lists.
+/// Maximum number of parser events that aliases may repeat. A few hundred bytes of nested aliases
+/// expand to billions of values and would block a node for seconds; real files share a few lists.
 const MAX_ALIAS_EVENTS: usize = 20_000;
 
-/// A place in the text; both count from one.
+/// A position in the text; line and column count from one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TextPosition {
     /// The line.
@@ -32,7 +33,7 @@
     pub column: u64,
 }
 
-/// A value and where it stands.
+/// A value with its position.
 #[derive(Clone, Debug)]
 pub struct YamlNode {
     /// Where the value begins.
@@ -41,14 +42,14 @@
     pub value: YamlValue,
 }
 
-/// A value as the YAML core schema types it.
+/// A value, typed according to the YAML core schema.
 #[derive(Clone, Debug)]
 pub enum YamlValue {
-    /// Nothing, or `null`.
+    /// An empty value or `null`.
     Null,
     /// `true` or `false`.
     Bool(bool),
-    /// A whole number that fits.
+    /// A whole number in the range of `i64`.
     Integer(i64),
     /// Any other number.
     Float(f64),
@@ -65,23 +66,23 @@
 pub struct YamlEntry {
     /// The key.
     pub key: String,
-    /// Where the key stands.
+    /// Where the key begins.
     pub position: TextPosition,
     /// The value.
     pub node: YamlNode,
 }
 
-/// Text that is no YAML, or more than is read.
+/// A text that is not valid YAML or exceeds a limit.
 #[derive(Clone, Debug)]
 pub struct YamlError {
-    /// Where reading stopped; the start of the text where the parser can't say.
+    /// Where parsing stopped, or the start of the text if the parser doesn't report it.
     pub position: TextPosition,
-    /// What the parser said.
+    /// The message of the parser.
     pub message: String,
 }
 
 impl YamlValue {
-    /// What the value is, in words for a fault.
+    /// The type of the value, as shown in a fault.
     pub const fn kind(&self) -> &'static str {
         match self {
             Self::Null => "nothing",
@@ -94,9 +95,9 @@
     }
 }
 
-/// Reads one YAML document.
+/// Parses one YAML document.
 ///
-/// Fails with the parser's first error; duplicate keys, merge keys, several documents and texts
+/// Fails with the parser's first error. Duplicate keys, merge keys, multiple documents and texts
 /// above [`MAX_TEXT_BYTES`] are errors.
 pub fn parse(text: &str) -> Result<YamlNode, YamlError> {
     if text.len() > MAX_TEXT_BYTES {
@@ -124,7 +125,7 @@
     })
 }
 
-/// The parser's message without the place, which is told apart.
+/// The parser's message without its position, which is reported separately.
 fn message_of(error: &serde_saphyr::Error) -> String {
     let message = error.render_with_formatter(&serde_saphyr::UserMessageFormatter);
     match message.rfind(" at line ") {
--- a/crates/anvil_rules/tests/accounts.rs
+++ b/crates/anvil_rules/tests/accounts.rs
@@ -1,4 +1,4 @@
-//! Client accounts in the operators' text, in changes and as bytes.
+//! Client accounts in rule files, in changes and in the binary encoding.
 
 use std::sync::Arc;
 
@@ -31,7 +31,7 @@
 }
 
 fn table(records: Vec<account::AccountRecord>) -> Option<Arc<account::AccountTable>> {
-    let table = account::AccountTable::new(records).expect("fits");
+    let table = account::AccountTable::new(records).expect("applies");
     Some(Arc::new(table))
 }
 
@@ -56,20 +56,20 @@
 }
 
 #[test]
-fn no_accounts_and_an_empty_list_are_two_things() {
+fn no_accounts_differ_from_an_empty_list() {
     assert!(parsed("rules: []").accounts().is_none());
     let empty = parsed("rules: []\naccounts: []");
     assert!(empty.accounts().expect("accounts").accounts().is_empty());
     assert_eq!(parsed(&render::to_yaml(&empty)), empty);
 }
 
-fn refused_with_place(accounts: &str, place: &str, reason: &str) {
+fn check_refused(accounts: &str, position: &str, reason: &str) {
     let found = faults(&text(accounts));
-    assert_eq!(found, format!("rules.yaml:{place}: {reason}"));
+    assert_eq!(found, format!("rules.yaml:{position}: {reason}"));
 }
 
 test_cases! {
-    refused_with_place:
+    check_refused:
     an_empty_name => (
         "- {name: '', keys: []}",
         "3:10: accounts[0].name", "a name must not be empty",
@@ -80,13 +80,13 @@
     ),
     a_burst_without_a_rate => (
         "- {name: a, keys: [], burst: 5}",
-        "3:30: accounts[0].burst", "a burst needs a rate beside it",
+        "3:30: accounts[0].burst", "a burst requires a rate",
     ),
     two_of_one_name => (
         "- {name: a, keys: []}\n- {name: a, keys: []}",
         "4:3: name", "the name a is taken by the account at line 3",
     ),
-    a_key_in_clear => (
+    a_key_in_plain_text => (
         "- {name: a, keys: [s3cret]}",
         "3:20: accounts[0].keys[0]",
         "no digest of a key; write sha256: and 64 hex digits, never the key itself",
@@ -112,25 +112,25 @@
         base: ident::RuleRevision(1),
         edits,
     };
-    let bytes = codec::encode_change(&change).expect("memory");
-    let read = codec::decode_change(&bytes).expect("what was written");
+    let bytes = codec::encode_change(&change).expect("encoding succeeds");
+    let read = codec::decode_change(&bytes).expect("encoded above");
     let mut changed = old;
-    changed.apply(&read).expect("fits");
+    changed.apply(&read).expect("applies");
     assert_eq!(changed, new);
 }
 
 #[test]
-fn a_document_from_elsewhere_is_checked() {
-    let twice = account::AccountTable::new(vec![record("a", "1"), record("b", "1")]);
-    let conflict = twice.expect_err("one key twice").to_string();
+fn an_account_table_with_a_duplicate_is_refused() {
+    let duplicate = account::AccountTable::new(vec![record("a", "1"), record("b", "1")]);
+    let conflict = duplicate.expect_err("a duplicate key").to_string();
     assert_eq!(conflict, "the accounts a and b hold the same key");
-    let twice = account::AccountTable::new(vec![record("a", "1"), record("a", "2")]);
-    let conflict = twice.expect_err("one name twice").to_string();
-    assert_eq!(conflict, "there are two accounts a");
+    let duplicate = account::AccountTable::new(vec![record("a", "1"), record("a", "2")]);
+    let conflict = duplicate.expect_err("a duplicate name").to_string();
+    assert_eq!(conflict, "two accounts have the name a");
 }
 
 #[test]
-fn a_key_finds_its_account_and_no_other_does() {
+fn a_key_identifies_its_account_only() {
     let table = table(vec![record("a", "1"), record("b", "2")]).expect("a table");
     let index = account::KeyIndex::compile(&table);
     let holder = |key: &str| {
--- a/crates/anvil_rules/tests/bad_input.rs
+++ b/crates/anvil_rules/tests/bad_input.rs
@@ -1,4 +1,4 @@
-//! Texts that nobody means: broken, huge, or made to take long.
+//! Malformed, oversized and malicious documents.
 
 use std::fmt::Write;
 
@@ -17,25 +17,25 @@
             text,
             "- {{name: r{index}, when: {{service: s{index}}}, then: {{}}}}"
         )
-        .expect("memory");
+        .expect("writing to memory succeeds");
     }
     text
 }
 
-/// Nine levels, each of which repeats the level before ten times.
+/// Nine levels of aliases, each of which repeats the previous level ten times.
 fn aliases() -> String {
     let mut text = String::from("a0: &a0 [x]\n");
     for level in 1..10 {
-        let before = format!("*a{}, ", level - 1).repeat(10);
-        writeln!(text, "a{level}: &a{level} [{before}]").expect("memory");
+        let items = format!("*a{}, ", level - 1).repeat(10);
+        writeln!(text, "a{level}: &a{level} [{items}]").expect("writing to memory succeeds");
     }
     text + "rules: *a9\n"
 }
 
 fn check_refused(text: &str, expected: &str) {
-    let faults = parse::check_rules("r.yaml", text).expect_err("the text is wrong");
-    let told = faults.to_string();
-    assert!(told.contains(expected), "{told}");
+    let faults = parse::check_rules("r.yaml", text).expect_err("invalid rules");
+    let message = faults.to_string();
+    assert!(message.contains(expected), "{message}");
 }
 
 test_cases! { check_refused:
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn as_many_rules_as_allowed_are_read() {
+fn the_maximum_number_of_rules_is_accepted() {
     let checked = parse::check_rules("r.yaml", &rules(document::MAX_RULES));
     let checked = checked.expect("the limit is allowed");
     assert_eq!(checked.document.rules().len(), document::MAX_RULES);
@@ -99,13 +99,13 @@
     })]
 
     #[test]
-    fn a_spoilt_example_is_read_or_told_with_places(
-        place in any::<Index>(),
+    fn a_mutated_example_is_parsed_or_has_faults_with_positions(
+        position in any::<Index>(),
         length in 0..20_usize,
         replacement in "[ -~\\n\\té]{0,4}",
     ) {
         let mut text: Vec<char> = EXAMPLE.chars().collect();
-        let start = place.index(text.len());
+        let start = position.index(text.len());
         let end = (start + length).min(text.len());
         text.splice(start..end, replacement.chars());
         let text: String = text.into_iter().collect();
--- a/crates/anvil_rules/tests/change.rs
+++ b/crates/anvil_rules/tests/change.rs
@@ -1,4 +1,4 @@
-//! Changes: what differs between two documents, and making it so.
+//! Changes: computing the difference between two documents and applying it.
 
 use std::sync::Arc;
 
@@ -8,17 +8,18 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// Builds a document of rules `r<name>` whose retries tell them apart.
+/// Builds a document of rules `r<name>` with the given retries.
 fn document(rules: &[(u8, u8)]) -> document::RuleDocument {
     use std::fmt::Write;
     let mut text = String::from("rules:\n");
     for (name, retries) in rules {
-        writeln!(text, "- {{name: r{name}, then: {{retries: {retries}}}}}").expect("memory");
+        writeln!(text, "- {{name: r{name}, then: {{retries: {retries}}}}}")
+            .expect("encoding succeeds");
     }
     if rules.is_empty() {
         text = "rules: []".to_owned();
     }
-    parse::parse_rules("test", &text).expect("the text is right")
+    parse::parse_rules("test", &text).expect("valid rules")
 }
 
 fn change(edits: Vec<change::RuleEdit>) -> change::RuleChange {
@@ -34,8 +35,8 @@
     name::RuleName::new(text).expect("a name")
 }
 
-/// The naive version: a vector that is searched for each name.
-fn naive_apply(
+/// The reference implementation: a vector that is searched for each name.
+fn reference_apply(
     document: &document::RuleDocument,
     edits: &[change::RuleEdit],
 ) -> Option<Vec<Arc<document::NamedRule>>> {
@@ -47,22 +48,22 @@
             change::RuleEdit::Remove { name } => (name, &None),
             change::RuleEdit::Accounts { .. } => continue,
         };
-        let place = rules.iter().position(|rule| rule.name == *name);
-        let taken = place.map(|place| rules.remove(place));
+        let position = rules.iter().position(|rule| rule.name == *name);
+        let removed = position.map(|position| rules.remove(position));
         let rule = match edit {
             change::RuleEdit::Put { rule, .. } => Arc::clone(rule),
-            change::RuleEdit::Move { .. } => taken?,
+            change::RuleEdit::Move { .. } => removed?,
             change::RuleEdit::Remove { .. } => {
-                taken?;
+                removed?;
                 continue;
             }
             change::RuleEdit::Accounts { .. } => continue,
         };
-        let place = match before {
+        let position = match before {
             None => rules.len(),
             Some(before) => rules.iter().position(|rule| rule.name == *before)?,
         };
-        rules.insert(place, rule);
+        rules.insert(position, rule);
     }
     Some(rules)
 }
@@ -113,13 +114,13 @@
     fn applying_the_difference_gives_the_new_document(old in documents(), new in documents()) {
         let edits = change::diff(&old, &new);
         let mut document = old;
-        document.apply(&change(edits)).expect("the difference fits");
+        document.apply(&change(edits)).expect("the difference applies");
         prop_assert_eq!(document, new);
     }
 
     #[test]
-    fn edits_do_what_they_do_to_a_searched_vector(old in documents(), edits in edits()) {
-        let expected = naive_apply(&old, &edits);
+    fn applying_edits_agrees_with_the_reference(old in documents(), edits in edits()) {
+        let expected = reference_apply(&old, &edits);
         let mut document = old.clone();
         let applied = document.apply(&change(edits)).ok();
         prop_assert_eq!(applied.is_some(), expected.is_some());
@@ -145,36 +146,36 @@
 }
 
 fn check_conflict(edit: change::RuleEdit, expected: &str) {
-    // The operator's change comes after another's that removed the rule it speaks of. Its first
-    // edit would fit, its last doesn't: the operator is told, and nothing of it is in force.
+    // A concurrent change has removed the rule that the change refers to. Its first edit can be
+    // applied and its last can't, so the whole change is rejected and the document stays unchanged.
     let mut document = document(&[(1, 0)]);
     let before = document.clone();
-    let fits = change::RuleEdit::Remove {
+    let valid = change::RuleEdit::Remove {
         name: rule_name("r1"),
     };
-    let error = document.apply(&change(vec![fits, edit]));
+    let error = document.apply(&change(vec![valid, edit]));
     assert_eq!(error.expect_err("a conflict").to_string(), expected);
     assert_eq!(document, before);
 }
 
 test_cases! { check_conflict:
-    removing_a_rule_that_is_gone => (
+    removing_a_missing_rule => (
         change::RuleEdit::Remove { name: rule_name("r9") },
-        "there is no rule r9 any more"
+        "rule r9 does not exist"
     ),
-    moving_before_a_rule_that_is_gone => (
+    placing_a_rule_before_a_missing_one => (
         change::RuleEdit::Put {
             rule: Arc::clone(&document(&[(2, 0)]).rules()[0]),
             before: Some(rule_name("r9")),
         },
-        "there is no rule r9 any more"
+        "rule r9 does not exist"
     ),
     placing_a_rule_before_itself => (
         change::RuleEdit::Put {
             rule: Arc::clone(&document(&[(2, 0)]).rules()[0]),
             before: Some(rule_name("r2")),
         },
-        "the rule r2 can't stand in front of itself"
+        "rule r2 can't be placed before itself"
     ),
 }
 
@@ -184,18 +185,18 @@
     let mut changed = rules.clone();
     changed[100].1 = 5;
     let edits = change::diff(&document(&rules), &document(&changed));
-    let bytes = codec::encode_change(&change(edits)).expect("memory");
+    let bytes = codec::encode_change(&change(edits)).expect("encoding succeeds");
     assert!(bytes.len() < 64, "{} bytes", bytes.len());
-    let read = codec::decode_change(&bytes).expect("what was written");
+    let read = codec::decode_change(&bytes).expect("encoded above");
     let mut document_again = document(&rules);
-    document_again.apply(&read).expect("fits");
+    document_again.apply(&read).expect("applies");
     assert_eq!(document_again, document(&changed));
 }
 
 #[test]
-fn bytes_of_another_format_are_refused_by_name() {
-    // A newer node wrote the log and an older one reads it during a rolling update.
-    let mut bytes = codec::encode_document(&document(&[(1, 0)])).expect("memory");
+fn bytes_of_another_format_version_are_refused() {
+    // During a rolling update, a newer node has written the log that an older one reads.
+    let mut bytes = codec::encode_document(&document(&[(1, 0)])).expect("encoding succeeds");
     bytes[0] = 3;
     let error = codec::decode_document(&bytes).expect_err("another format");
     assert_eq!(
@@ -206,17 +207,17 @@
 
 #[test]
 fn a_document_with_two_rules_of_one_name_is_refused() {
-    let mut bytes = codec::encode_document(&document(&[(1, 0)])).expect("memory");
-    // The last byte says that there are no accounts.
-    let accounts = bytes.pop().expect("written");
+    let mut bytes = codec::encode_document(&document(&[(1, 0)])).expect("encoding succeeds");
+    // The last byte encodes that there are no accounts.
+    let accounts = bytes.pop().expect("encoded above");
     let rule = bytes.split_off(2);
-    let twice = [
+    let duplicate = [
         &[codec::FORMAT_VERSION, 2],
         rule.as_slice(),
         &rule,
         &[accounts],
     ]
     .concat();
-    let error = codec::decode_document(&twice).expect_err("one name twice");
-    assert_eq!(error.to_string(), "there are two rules r1");
+    let error = codec::decode_document(&duplicate).expect_err("a duplicate name");
+    assert_eq!(error.to_string(), "two rules have the name r1");
 }
--- a/crates/anvil_rules/tests/examples.rs
+++ b/crates/anvil_rules/tests/examples.rs
@@ -1,4 +1,4 @@
-//! The rules in `examples/` and in `docs/RULES.md` are read and checked.
+//! Checks the rules in `examples/` and `docs/RULES.md`.
 
 use std::fmt::Display;
 use std::fs;
@@ -13,12 +13,12 @@
 
 fn read(file: &str) -> String {
     let root = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../..");
-    fs::read_to_string(root.join(file)).expect("the file is there")
+    fs::read_to_string(root.join(file)).expect("a readable file")
 }
 
 fn matcher(mesh: &str) -> matcher::RuleMatcher {
     let file = format!("examples/{mesh}/rules.yaml");
-    let checked = parse::check_rules(&file, &read(&file)).expect("the rules are right");
+    let checked = parse::check_rules(&file, &read(&file)).expect("valid rules");
     assert_eq!(checked.warnings, []);
     matcher::RuleMatcher::compile(&checked.document)
 }
@@ -74,39 +74,39 @@
 }
 
 #[rstest]
-fn every_text_of_the_page_is_accepted(page: String) {
+fn every_example_of_the_page_is_accepted(page: String) {
     let blocks: Vec<&str> = page.split("```yaml\n").skip(1).collect();
     assert!(!blocks.is_empty());
     for block in blocks {
-        let (text, _) = block.split_once("```").expect("an end");
-        let checked = parse::check_rules("docs/RULES.md", text).expect("the text is right");
+        let (text, _) = block.split_once("```").expect("a closed block");
+        let checked = parse::check_rules("docs/RULES.md", text).expect("valid rules");
         assert_eq!(checked.warnings, []);
     }
 }
 
-/// A number's row in the page's table of fields.
+/// The row of a number in the page's table of fields.
 fn row<T>(field: &str, range: &RangeInclusive<T>, default: T, unit: &str) -> String
 where
     T: Display,
 {
-    let (least, most) = (range.start(), range.end());
-    format!("| `{field}` | {least}{unit} to {most}{unit} | {default}{unit} |")
+    let (min, max) = (range.start(), range.end());
+    format!("| `{field}` | {min}{unit} to {max}{unit} | {default}{unit} |")
 }
 
-/// A duration's row in the page's table of fields.
-fn wait_row(field: &str, range: &RangeInclusive<Duration>, default: Duration) -> String {
-    let (least, most) = (
+/// The row of a duration in the page's table of fields.
+fn duration_row(field: &str, range: &RangeInclusive<Duration>, default: Duration) -> String {
+    let (min, max) = (
         duration::format(*range.start()),
         duration::format(*range.end()),
     );
     format!(
-        "| `{field}` | {least} to {most} | {} |",
+        "| `{field}` | {min} to {max} | {} |",
         duration::format(default)
     )
 }
 
 #[rstest]
-fn the_page_tells_the_ranges_and_defaults_in_force(page: String) {
+fn the_page_lists_the_current_ranges_and_defaults(page: String) {
     let default = treatment::RuleTreatment::default();
     let ratio = i64::from(default.retry_ratio_percent);
     let rows = [
@@ -123,10 +123,10 @@
             i64::from(default.crash_limit),
             "",
         ),
-        wait_row("backoff", &range::BACKOFF, default.backoff),
-        wait_row("deadline", &range::DEADLINE, default.deadline),
-        wait_row("queue-wait", &range::QUEUE_WAIT, default.queue_wait),
-        wait_row("quarantine", &range::QUARANTINE, default.quarantine),
+        duration_row("backoff", &range::BACKOFF, default.backoff),
+        duration_row("deadline", &range::DEADLINE, default.deadline),
+        duration_row("queue-wait", &range::QUEUE_WAIT, default.queue_wait),
+        duration_row("quarantine", &range::QUARANTINE, default.quarantine),
     ];
     for row in rows {
         assert!(page.contains(&row), "{row}");
@@ -135,8 +135,10 @@
 
 fn check_size(mesh: &str, document_bytes: usize, rule_bytes: usize) {
     let text = read(&format!("examples/{mesh}/rules.yaml"));
-    let document = parse::parse_rules(mesh, &text).expect("the rules are right");
-    let whole = codec::encode_document(&document).expect("memory").len();
+    let document = parse::parse_rules(mesh, &text).expect("valid rules");
+    let size = codec::encode_document(&document)
+        .expect("encoding succeeds")
+        .len();
     let edits = change::diff(&document::RuleDocument::default(), &document);
     let sizes = edits.into_iter().map(|edit| {
         let change = change::RuleChange {
@@ -145,14 +147,16 @@
             base: ident::RuleRevision(1_000_000),
             edits: vec![edit],
         };
-        codec::encode_change(&change).expect("memory").len()
+        codec::encode_change(&change)
+            .expect("encoding succeeds")
+            .len()
     });
-    let largest = sizes.max().expect("a rule");
-    assert!(whole <= document_bytes, "{whole} bytes");
+    let largest = sizes.max().expect("at least one rule");
+    assert!(size <= document_bytes, "{size} bytes");
     assert!(largest <= rule_bytes, "{largest} bytes");
 }
 
-// Values of the store hold a megabyte, and 31,000 changes go through it a day.
+// A value in the store holds at most a megabyte, and the store receives 31,000 changes a day.
 test_cases! { check_size:
     rules_of_reclamo_simple_are_small => ("reclamo-simple", 640, 200),
     rules_of_marche_armor_are_small => ("marche-armor", 640, 200),
--- a/crates/anvil_rules/tests/matcher.rs
+++ b/crates/anvil_rules/tests/matcher.rs
@@ -1,4 +1,4 @@
-//! Matching against a naive scan, which has its own idea of each condition.
+//! Compares the matcher with a reference scan that evaluates conditions independently.
 
 use anvil_rules::{condition, document, matcher, parse, path, view};
 use anvil_testkit::test_cases;
@@ -8,23 +8,26 @@
 use proptest::sample::select;
 use proptest::test_runner::RngSeed;
 
-/// The naive version: every rule from the first to the last, each pattern by recursion.
-fn naive_decide(document: &document::RuleDocument, request: &view::RequestView<'_>) -> Option<u32> {
+/// The reference implementation: scans all rules and matches each pattern recursively.
+fn reference_decide(
+    document: &document::RuleDocument,
+    request: &view::RequestView<'_>,
+) -> Option<u32> {
     let rules = document.rules().iter().zip(0_u32..);
-    let mut matching = rules.filter(|(rule, _)| naive_matches(&rule.when, request));
+    let mut matching = rules.filter(|(rule, _)| reference_matches(&rule.when, request));
     matching.next().map(|(_, index)| index)
 }
 
-fn naive_matches(when: &condition::RuleCondition, request: &view::RequestView<'_>) -> bool {
+fn reference_matches(when: &condition::RuleCondition, request: &view::RequestView<'_>) -> bool {
     let path = request.path;
     let services: Vec<String> = when.services.iter().map(|s| s.to_string()).collect();
     let paths: Vec<String> = when.paths.iter().map(|p| p.to_string()).collect();
     let any_service = services
         .iter()
-        .any(|s| naive_glob(s.as_bytes(), request.service.as_bytes()));
+        .any(|s| reference_glob(s.as_bytes(), request.service.as_bytes()));
     let any_path = paths
         .iter()
-        .any(|p| naive_glob(p.as_bytes(), path.as_bytes()));
+        .any(|p| reference_glob(p.as_bytes(), path.as_bytes()));
     let headers = when.headers.iter().all(|header| {
         let values: Vec<&[u8]> = request
             .headers
@@ -44,20 +47,20 @@
         && headers
 }
 
-fn naive_glob(glob: &[u8], text: &[u8]) -> bool {
+fn reference_glob(glob: &[u8], text: &[u8]) -> bool {
     match glob {
         [] => text.is_empty(),
-        [b'*', b'*', rest @ ..] => (0..=text.len()).any(|at| naive_glob(rest, &text[at..])),
+        [b'*', b'*', rest @ ..] => (0..=text.len()).any(|at| reference_glob(rest, &text[at..])),
         [b'*', rest @ ..] => {
             let segment = text.iter().position(|byte| *byte == b'/');
             let end = segment.unwrap_or(text.len());
-            (0..=end).any(|at| naive_glob(rest, &text[at..]))
+            (0..=end).any(|at| reference_glob(rest, &text[at..]))
         }
-        [first, rest @ ..] => text.first() == Some(first) && naive_glob(rest, &text[1..]),
+        [first, rest @ ..] => text.first() == Some(first) && reference_glob(rest, &text[1..]),
     }
 }
 
-fn texts(of: &'static [&'static str]) -> impl Strategy<Value = Vec<&'static str>> {
+fn subsets(of: &'static [&'static str]) -> impl Strategy<Value = Vec<&'static str>> {
     prop::collection::vec(select(of), 0..3)
 }
 
@@ -77,7 +80,7 @@
 fn rule(index: usize) -> impl Strategy<Value = String> {
     let paths = prop::collection::vec(path_pattern(), 0..3);
     let headers = prop::option::of(select(&HEADERS[..]));
-    (texts(&SERVICES), texts(&METHODS), paths, headers).prop_map(
+    (subsets(&SERVICES), subsets(&METHODS), paths, headers).prop_map(
         move |(services, methods, paths, header)| {
             let mut when: Vec<String> = Vec::new();
             if !services.is_empty() {
@@ -128,8 +131,8 @@
     })]
 
     #[test]
-    fn decides_as_the_naive_scan(text in rules_text(), requests in requests()) {
-        let checked = parse::check_rules("test", &text).expect("the text is right");
+    fn decides_like_the_reference_scan(text in rules_text(), requests in requests()) {
+        let checked = parse::check_rules("test", &text).expect("valid rules");
         let matcher = matcher::RuleMatcher::compile(&checked.document);
         for (service, method, path, headers) in &requests {
             let headers: Vec<_> = headers.iter().map(|text| header_line(text)).collect();
@@ -137,7 +140,7 @@
             prop_assert!(!path.contains('?'));
             let request = view::RequestView { service, method, path, headers: &headers };
             let decided = matcher.decide(&request).index;
-            prop_assert_eq!(decided, naive_decide(&checked.document, &request));
+            prop_assert_eq!(decided, reference_decide(&checked.document, &request));
             let unreachable = |warning: &anvil_rules::fault::RuleWarning| {
                 decided.is_some_and(|index| {
                     checked.document.rules()[index as usize].name == warning.name
@@ -148,14 +151,14 @@
     }
 
     #[test]
-    fn globs_match_as_the_naive_recursion(glob in path_pattern(), path in "/[ab/]{0,10}") {
-        let expected = naive_glob(glob.as_bytes(), path.as_bytes());
+    fn globs_match_like_the_reference(glob in path_pattern(), path in "/[ab/]{0,10}") {
+        let expected = reference_glob(glob.as_bytes(), path.as_bytes());
         prop_assert_eq!(path::PathPattern::new(&glob).matches(&path), expected);
     }
 }
 
 fn check_decision(text: &str, method: &str, class: context::PriorityClass, idempotent: bool) {
-    let document = parse::parse_rules("test", text).expect("the text is right");
+    let document = parse::parse_rules("test", text).expect("valid rules");
     let matcher = matcher::RuleMatcher::compile(&document);
     let request = view::RequestView {
         service: "mesa-entradas",
@@ -175,10 +178,10 @@
     an_unknown_method_is_not_idempotent => (
         "rules: []", "PURGE", context::PriorityClass::Normal, false
     ),
-    a_rule_leaves_it_to_the_method => (
+    an_unset_field_is_left_to_the_method => (
         "rules: [{name: a, then: {class: high}}]", "DELETE", context::PriorityClass::High, true
     ),
-    a_rule_says_otherwise => (
+    a_rule_overrides_the_method => (
         "rules: [{name: a, then: {idempotent: false}}]", "GET",
         context::PriorityClass::Normal, false
     ),
@@ -190,13 +193,13 @@
 }
 
 #[test]
-fn a_rule_of_many_lists_still_matches() {
+fn a_rule_with_long_lists_matches() {
     let paths: Vec<String> = (0..64).map(|n| format!("/p{n}")).collect();
     let services: Vec<String> = (0..64).map(|n| format!("s{n}")).collect();
     let text = format!(
         "rules: [{{name: a, when: {{service: {services:?}, path: {paths:?}}}, then: {{}}}}]"
     );
-    let document = parse::parse_rules("test", &text).expect("the text is right");
+    let document = parse::parse_rules("test", &text).expect("valid rules");
     let matcher = matcher::RuleMatcher::compile(&document);
     let at = |service, path| {
         let headers = &[];
--- a/crates/anvil_rules/tests/parse.rs
+++ b/crates/anvil_rules/tests/parse.rs
@@ -1,4 +1,4 @@
-//! Reading rule files: what is accepted, and how each fault is told.
+//! Parsing of rule files: accepted documents and the messages of faults.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use anvil_types::{context, treatment};
 
 fn parsed(text: &str) -> document::RuleDocument {
-    parse::parse_rules("rules.yaml", text).expect("the text is right")
+    parse::parse_rules("rules.yaml", text).expect("valid rules")
 }
 
 #[test]
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn takes_defaults_for_fields_left_out() {
+fn unset_fields_have_defaults() {
     let document = parsed("rules: [{name: all, then: {}}]");
     let then = &document.rules()[0].then;
     assert_eq!(then.treatment("POST"), treatment::RuleTreatment::default());
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn tells_every_fault_of_a_text_at_once() {
+fn reports_all_faults_of_a_document() {
     let text = "rules:
   - name: Bad Name
     when: {service: a*b}
@@ -85,8 +85,8 @@
   - name: second
     then: {klass: high}
 ";
-    let faults = parse::parse_rules("r.yaml", text).expect_err("the text is wrong");
-    let told: Vec<(u64, &str)> = faults
+    let faults = parse::parse_rules("r.yaml", text).expect_err("invalid rules");
+    let found: Vec<(u64, &str)> = faults
         .0
         .iter()
         .map(|fault| (fault.line, fault.field.as_str()))
@@ -98,16 +98,16 @@
         (4, "rules[0].then.retries"),
         (6, "rules[1].then.klass"),
     ];
-    assert_eq!(told, expected);
+    assert_eq!(found, expected);
 }
 
 fn check_fault(text: &str, expected: &str) {
-    let faults = parse::parse_rules("r.yaml", text).expect_err("the text is wrong");
+    let faults = parse::parse_rules("r.yaml", text).expect_err("invalid rules");
     assert_eq!(faults.to_string(), expected);
 }
 
 test_cases! { check_fault:
-    no_yaml => (
+    invalid_yaml => (
         "rules: [",
         "r.yaml:1:8: document: unclosed bracket '['"
     ),
@@ -121,7 +121,7 @@
     ),
     unknown_top_field => (
         "rules: []\nlimits: 3",
-        "r.yaml:2:1: limits: unknown field; the fields here are rules, accounts"
+        "r.yaml:2:1: limits: unknown field; expected one of rules, accounts"
     ),
     duplicate_names => (
         "rules:\n- {name: a, then: {}}\n- {name: a, then: {}}",
@@ -146,24 +146,24 @@
     ),
     unknown_class => (
         "rules: [{name: a, then: {class: urgent}}]",
-        "r.yaml:1:33: rules[0].then.class: \"urgent\" is none of low, normal, high, critical"
+        "r.yaml:1:33: rules[0].then.class: \"urgent\" is not one of low, normal, high, critical"
     ),
     lower_case_method => (
         "rules: [{name: a, when: {method: post}, then: {}}]",
-        "r.yaml:1:34: rules[0].when.method: \"post\" is no method; methods are case-sensitive, \
+        "r.yaml:1:34: rules[0].when.method: \"post\" is not a method; methods are case-sensitive, \
          such as POST"
     ),
     path_with_query => (
         "rules: [{name: a, when: {path: /a?b=1}, then: {}}]",
-        "r.yaml:1:32: rules[0].when.path: \"/a?b=1\" is no path; it begins with '/' or '*' and \
-         holds no '?', '#' or space"
+        "r.yaml:1:32: rules[0].when.path: \"/a?b=1\" is not a path; it must begin with '/' or '*' \
+         and not contain '?', '#' or spaces"
     ),
     empty_list => (
         "rules: [{name: a, when: {service: []}, then: {}}]",
         "r.yaml:1:35: rules[0].when.service: the list is empty; leave the field out to match \
          everything"
     ),
-    header_named_twice => (
+    duplicate_header => (
         "rules: [{name: a, when: {headers: {X-A: b, x-a: c}}, then: {}}]",
         "r.yaml:1:49: rules[0].when.headers.x-a: the header x-a is named twice"
     ),
@@ -183,27 +183,27 @@
 }
 
 fn check_warning(text: &str, expected: &[&str]) {
-    let checked = parse::check_rules("r.yaml", text).expect("the text is right");
-    let told: Vec<String> = checked.warnings.iter().map(ToString::to_string).collect();
-    assert_eq!(told, expected);
+    let checked = parse::check_rules("r.yaml", text).expect("valid rules");
+    let warnings: Vec<String> = checked.warnings.iter().map(ToString::to_string).collect();
+    assert_eq!(warnings, expected);
 }
 
 test_cases! { check_warning:
-    warns_of_a_rule_behind_a_wider_one => (
+    warns_of_a_rule_after_a_wider_one => (
         "rules:
   - {name: wide, when: {service: 'por*'}, then: {}}
   - {name: narrow, when: {service: portal, method: GET}, then: {}}",
         &["r.yaml:3: rule narrow is unreachable: rule wide at line 2 matches everything that it \
            matches"]
     ),
-    warns_of_rules_behind_one_for_everything => (
+    warns_of_a_rule_after_a_catch_all => (
         "rules:
   - {name: all, then: {}}
   - {name: paths, when: {path: '/a/*'}, then: {}}",
         &["r.yaml:3: rule paths is unreachable: rule all at line 2 matches everything that it \
            matches"]
     ),
-    names_the_first_of_several_shadows => (
+    names_the_first_covering_rule => (
         "rules:
   - {name: portal, when: {service: portal}, then: {}}
   - {name: posts, when: {service: '*', method: POST}, then: {}}
@@ -212,7 +212,7 @@
         &["r.yaml:5: rule late is unreachable: rule portal at line 2 matches everything that it \
            matches"]
     ),
-    keeps_quiet_about_a_narrower_rule_in_front => (
+    accepts_a_narrower_rule_before_a_wider_one => (
         "rules:
   - {name: narrow, when: {service: portal, headers: {x-a: b}}, then: {}}
   - {name: wide, when: {service: portal}, then: {}}",
--- a/crates/anvil_rules/tests/render.rs
+++ b/crates/anvil_rules/tests/render.rs
@@ -1,4 +1,5 @@
-//! Writing documents as YAML: whatever can be in force can be shown, edited and sent back.
+//! Round trips of documents through YAML and the binary encoding: every document in force can be
+//! rendered, edited and submitted again.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -87,7 +88,7 @@
         let mut document = document::RuleDocument::default();
         document
             .apply(&change)
-            .expect("rules fit an empty document");
+            .expect("the rules apply to an empty document");
         document
     })
 }
@@ -101,33 +102,33 @@
     })]
 
     #[test]
-    fn a_document_comes_back_from_its_text(document in documents()) {
+    fn a_document_survives_a_round_trip_through_yaml(document in documents()) {
         let text = render::to_yaml(&document);
-        let read = parse::parse_rules("written", &text);
+        let read = parse::parse_rules("rendered", &text);
         prop_assert_eq!(read.as_ref(), Ok(&document), "{}", text);
     }
 
     #[test]
-    fn a_document_comes_back_from_its_bytes(document in documents()) {
-        let bytes = codec::encode_document(&document).expect("memory");
+    fn a_document_survives_a_round_trip_through_bytes(document in documents()) {
+        let bytes = codec::encode_document(&document).expect("encoding succeeds");
         prop_assert_eq!(codec::decode_document(&bytes), Ok(document));
     }
 
     #[test]
-    fn arbitrary_bytes_are_refused_or_read_whole(
+    fn arbitrary_bytes_are_refused_or_decoded_completely(
         format in prop::bool::weighted(0.9),
         mut bytes in prop::collection::vec(any::<u8>(), 0..200),
     ) {
         if let Some(first) = bytes.first_mut().filter(|_| format) {
             *first = codec::FORMAT_VERSION;
         }
-        // Numbers may be written longer than they need, so only what is read is compared.
+        // Integers may have a longer encoding than necessary, so the decoded values are compared.
         if let Ok(document) = codec::decode_document(&bytes) {
-            let again = codec::encode_document(&document).expect("memory");
+            let again = codec::encode_document(&document).expect("encoding succeeds");
             prop_assert_eq!(codec::decode_document(&again), Ok(document));
         }
         if let Ok(change) = codec::decode_change(&bytes) {
-            let again = codec::encode_change(&change).expect("memory");
+            let again = codec::encode_change(&change).expect("encoding succeeds");
             prop_assert_eq!(codec::decode_change(&again), Ok(change));
         }
     }
