--- a/crates/anvil_overload/benches/decisions.rs
+++ b/crates/anvil_overload/benches/decisions.rs
@@ -6,7 +6,7 @@
 use anvil_overload::{admission, kind, limit, policy, rank, routing};
 use anvil_types::{context, ident, name, time};
 
-/// Services and targets of a large fleet.
+/// Number of services in the routing table of a large fleet.
 const SERVICES: u64 = 730;
 
 fn main() {
@@ -26,7 +26,8 @@
     }
 }
 
-/// A choice among `per_service` targets in a table of 730 services, with its begin and end.
+/// Chooses among `per_service` targets in a table of 730 services, and records the start and end of
+/// the attempt.
 #[divan::bench(args = [4, 19, 200])]
 fn route(bencher: divan::Bencher<'_, '_>, per_service: u64) {
     let zones = ["a", "b", "c", "d"].map(|zone| name::ZoneName::new(zone).expect("a name"));
@@ -71,7 +72,7 @@
     });
 }
 
-/// One request through the queue of a target of forty slots, with `waiting` others in it.
+/// Passes one request through the queue of a target with 40 slots and `waiting` queued requests.
 #[divan::bench(args = [0, 40, 300])]
 fn admit(bencher: divan::Bencher<'_, '_>, waiting: u64) {
     let policy = policy::OverloadPolicy {
--- a/crates/anvil_overload/tests/admission.rs
+++ b/crates/anvil_overload/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Who runs next at a target, and who is refused, in injected time.
+//! Admission and order of requests at a target, in simulated time.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -39,7 +39,7 @@
     admission::AdmissionQueue::new(at(0), slots, policy)
 }
 
-fn whole(millis: u64) -> limit::RunSample {
+fn completed(millis: u64) -> limit::RunSample {
     limit::RunSample {
         latency: Duration::from_millis(millis),
         downstream: Duration::ZERO,
@@ -63,7 +63,7 @@
     refused.collect()
 }
 
-/// The order in which waiting calls start when one slot is freed again and again.
+/// Order in which waiting calls start while a single slot is freed repeatedly.
 fn order(policy: policy::OverloadPolicy, calls: &[admission::WaitingCall]) -> Vec<u64> {
     let mut queue = queue(1, policy);
     assert_eq!(
@@ -76,13 +76,13 @@
     let mut order = vec![0];
     for step in 0..calls.len() as u64 {
         let running = order[order.len() - 1];
-        order.extend(started(&queue.finish(at(step + 1), running, whole(1))));
+        order.extend(started(&queue.finish(at(step + 1), running, completed(1))));
     }
     order.split_off(1)
 }
 
-// A critical request waits behind nothing but its equals; of one class the deeper goes first,
-// since its cost is spent, and then the lower lane, as at every other node.
+// A critical request waits only behind others of its class. Within a class the deeper request runs
+// first, because its cost is already spent, and then the lower lane, as at every other node.
 #[test]
 fn important_then_deep_then_low_lane_runs_first() {
     let calls = [
@@ -95,15 +95,15 @@
     assert_eq!(order(policy::OverloadPolicy::NAIVE, &calls), [1, 2, 3, 4]);
 }
 
-// Equals run in order of arrival while the queue is short.
+// Requests of equal rank run in order of arrival while the queue is short.
 #[test]
-fn equals_run_in_order_without_strain() {
+fn equal_ranks_run_in_order_without_pressure() {
     let calls = [1, 2, 3].map(|id| waiting(id, rank(Class::Normal, 0, 7)));
     assert_eq!(order(policy::OverloadPolicy::FULL, &calls), [1, 2, 3]);
 }
 
-// The only slot is taken for 100 ms at a time. A request that has 50 ms left can't end in time,
-// even if it ran next; it is refused at once and did not run. The naive queue runs it in vain.
+// Each run takes the only slot for 100 ms. A request with 50 ms left cannot complete in time even
+// if it runs next; it is refused at once as not run. Without safeguards the queue runs it in vain.
 #[test]
 fn request_that_cannot_end_in_time_is_refused_at_once() {
     let refused_at_once = |policy| {
@@ -111,7 +111,7 @@
         let normal = rank(Class::Normal, 0, 0);
         for run in 10..20 {
             queue.offer(at(100 * (run - 10)), waiting(run, normal));
-            queue.finish(at(100 * (run - 9)), run, whole(100));
+            queue.finish(at(100 * (run - 9)), run, completed(100));
         }
         queue.offer(at(1_000), waiting(1, normal));
         queue.offer(at(1_000), waiting(2, normal));
@@ -126,13 +126,14 @@
     assert_eq!(refused_at_once(policy::OverloadPolicy::NAIVE), []);
 }
 
-// A slot is free: no estimate and no line refuses, since only runs show that pressure is over.
+// If a slot is free, neither an estimate nor a cut line refuses a request, because only runs can
+// show that the pressure has ended.
 #[test]
-fn free_slot_is_never_refused() {
+fn free_slot_is_always_used() {
     let mut queue = queue(1, policy::OverloadPolicy::FULL);
     let normal = rank(Class::Normal, 0, 0);
     queue.offer(at(0), waiting(0, normal));
-    queue.finish(at(100), 0, whole(100));
+    queue.finish(at(100), 0, completed(100));
     let hurried = admission::WaitingCall {
         deadline: at(150),
         ..waiting(1, normal)
@@ -140,7 +141,8 @@
     assert_eq!(started(&queue.offer(at(100), hurried)), [1]);
 }
 
-// The queue is full of low work when important work comes; the lowest gives way and is told so.
+// The queue is full of low-class requests when a critical one arrives; the one of the lowest rank
+// is refused.
 #[test]
 fn lowest_gives_way_when_the_queue_is_full() {
     let mut queue = queue(1, policy::OverloadPolicy::FULL);
@@ -153,9 +155,10 @@
     assert_eq!(refused(&decisions), [(1, reason)]);
 }
 
-// A request has waited as long as its rule allows: it is refused then and not near its deadline.
+// A request is refused when it has waited as long as its rule allows, and not only near its
+// deadline.
 #[test]
-fn wait_ends_with_the_rule() {
+fn queue_wait_is_bounded_by_the_rule() {
     let mut queue = queue(1, policy::OverloadPolicy::FULL);
     let normal = rank(Class::Normal, 0, 0);
     queue.offer(at(0), waiting(0, normal));
@@ -177,8 +180,8 @@
     assert_eq!(queue.wake(at(30)), [expected]);
 }
 
-// Two requests that were running when a target crashed never run at one target together, so that
-// another crash tells which of them it was; others are not held up.
+// Two requests that were running when a target crashed never run at the same target together, so
+// that another crash identifies the cause; other requests are not delayed.
 #[test]
 fn suspects_run_apart() {
     let mut queue = queue(4, policy::OverloadPolicy::FULL);
@@ -190,12 +193,12 @@
     assert_eq!(started(&queue.offer(at(0), suspect(1))), [1]);
     assert!(queue.offer(at(0), suspect(2)).is_empty());
     assert_eq!(started(&queue.offer(at(0), waiting(3, normal))), [3]);
-    assert_eq!(started(&queue.finish(at(5), 1, whole(5))), [2]);
+    assert_eq!(started(&queue.finish(at(5), 1, completed(5))), [2]);
 }
 
-// A leaving target starts nothing new; what waits is refused so that it runs elsewhere.
+// A leaving target starts no new run; waiting requests are refused so that they run elsewhere.
 #[test]
-fn leaving_refuses_what_waits() {
+fn leaving_refuses_waiting_requests() {
     let mut queue = queue(1, policy::OverloadPolicy::FULL);
     let normal = rank(Class::Normal, 0, 0);
     queue.offer(at(0), waiting(1, normal));
@@ -209,19 +212,20 @@
     assert!(queue.load(at(1)).leaving);
 }
 
-// Twice as much is asked as one target can run, for two seconds; then nothing. Its line rises to
-// shed about half and leaves the critical ones alone; a second after the last run it is gone.
+// For two seconds, twice as many requests arrive as one target can run; then none. Its cut line
+// rises to shed about half of them and spares the critical ones; a second after the last run there
+// is no line.
 #[test]
 fn line_rises_with_pressure_and_falls_after_it() {
     let mut queue = queue(4, policy::OverloadPolicy::FULL);
     let mut running: Vec<(u64, u64)> = Vec::new();
     let mut lane = 0_u8;
-    // Four slots and 20 ms a run hold 200 requests a second; one comes each 2.5 ms.
+    // Four slots with runs of 20 ms complete 200 requests a second; one arrives every 2.5 ms.
     for step in 0..800_u64 {
         let now = step * 5 / 2;
         while let Some((end, id)) = running.first().copied().filter(|(end, _)| *end <= now) {
             running.remove(0);
-            let next = started(&queue.finish(at(end), id, whole(20)));
+            let next = started(&queue.finish(at(end), id, completed(20)));
             running.extend(next.into_iter().map(|id| (end + 20, id)));
         }
         lane = lane.wrapping_add(97);
@@ -244,9 +248,9 @@
     while !running.is_empty() {
         let (end, id) = running.remove(0);
         last = end;
-        let next = started(&queue.finish(at(end), id, whole(20)));
+        let next = started(&queue.finish(at(end), id, completed(20)));
         running.extend(next.into_iter().map(|id| (end + 20, id)));
     }
-    let quiet = at(last) + 10 * shedding::MIN_CUT_WINDOW;
-    assert_eq!(queue.load(quiet).cut, None);
+    let idle = at(last) + 10 * shedding::MIN_CUT_WINDOW;
+    assert_eq!(queue.load(idle).cut, None);
 }
--- a/crates/anvil_overload/tests/allowance.rs
+++ b/crates/anvil_overload/tests/allowance.rs
@@ -1,4 +1,4 @@
-//! Retries over whole call trees, against the naive version that retries at each hop.
+//! Retry allowance over whole call trees, compared with independent retries at each hop.
 
 use anvil_overload::allowance;
 use anvil_types::{ident, time};
@@ -8,10 +8,10 @@
 
 use anvil_overload::resend;
 
-/// Calls of one tree, so that a wide and deep one ends.
-const CALLS: u32 = 3_000;
+/// Maximum number of calls of one tree, so that wide and deep trees end.
+const MAX_CALLS: u32 = 3_000;
 
-/// A tree of calls whose attempts fail, and whose answers are lost, repeated and reordered.
+/// A call tree with failing attempts, and lost, repeated and reordered answers.
 struct CallTree {
     rng: rand_pcg::Pcg32,
     depth: u32,
@@ -25,7 +25,8 @@
         self.rng.next_u32() % 100 < share
     }
 
-    /// Makes one call with `grant` retries and returns what its answer says was spent.
+    /// Makes one call with `grant` retries; returns the number of spent retries that its answer
+    /// reports.
     fn call(&mut self, depth: u32, grant: u16) -> u16 {
         self.calls += 1;
         let mut pool = allowance::ChainAllowance::new(grant);
@@ -37,11 +38,11 @@
             let lost = self.percent(self.loss_percent);
             if lost {
                 pool.write_off(attempt);
-                // The answer comes late, after the attempt was given up.
+                // The answer arrives late, after the attempt was given up.
                 pool.settle(attempt, spent);
             } else {
                 pool.settle(attempt, spent);
-                // The same answer again changes nothing.
+                // A repeated answer has no effect.
                 pool.settle(attempt, 0);
             }
             let failed = lost || self.percent(60);
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Runs one attempt, whose calls go on at the same time and are answered in any order.
+    /// Runs one attempt, whose calls are concurrent and answered in any order.
     fn run(&mut self, depth: u32, grant: u16) -> u16 {
         let mut pool = allowance::ChainAllowance::new(grant);
         if depth == self.depth {
@@ -61,7 +62,7 @@
         let width = self.rng.next_u32() % 4;
         let mut open = Vec::new();
         for child in 0..u64::from(width) {
-            if self.calls < CALLS {
+            if self.calls < MAX_CALLS {
                 open.push((child, pool.lend_child(child, u16::MAX)));
             }
         }
@@ -85,9 +86,9 @@
         ..ProptestConfig::default()
     })]
 
-    // A root asks for a tree up to 27 calls deep. Attempts fail, answers are lost, come twice or
-    // late, and calls go on at the same time. All retries of the tree together stay within what
-    // the root was given, and the answer never tells of fewer than there were.
+    // A root request makes a tree of calls up to 27 deep. Attempts fail, answers are lost, repeated
+    // or late, and calls are concurrent. All retries of the tree stay within the allowance of the
+    // root, and the answer never reports fewer than there were.
     #[test]
     fn retries_of_a_tree_stay_within_the_root(
         seed in any::<u64>(),
@@ -97,15 +98,15 @@
     ) {
         let rng = rand_pcg::Pcg32::seed_from_u64(seed);
         let mut tree = CallTree { rng, depth, loss_percent, calls: 0, retries: 0 };
-        let told = tree.call(1, bound);
+        let reported = tree.call(1, bound);
         prop_assert!(tree.retries <= u64::from(bound));
-        prop_assert!(u64::from(told) >= tree.retries);
-        prop_assert!(told <= bound);
+        prop_assert!(u64::from(reported) >= tree.retries);
+        prop_assert!(reported <= bound);
     }
 }
 
-/// Attempts at the bottom of a chain whose every hop makes up to `retries` retries by itself and
-/// whose bottom always fails.
+/// Attempts at the last service of a chain that always fails, if every hop makes up to `retries`
+/// retries on its own.
 fn naive_attempts(depth: u32, retries: u64) -> u64 {
     match depth {
         0 => 1,
@@ -115,8 +116,8 @@
     }
 }
 
-// The bottom of a chain fails every attempt. With three retries at each of six hops it sees 4,096
-// attempts for one request; with the chain's allowance, four.
+// The last service of a chain fails every attempt. With three retries at each of six hops it
+// receives 4,096 attempts for one request; with the chain allowance, four.
 #[test]
 fn allowance_replaces_the_product_of_hops() {
     fn chained(depth: u32, grant: u16, attempts: &mut u64) -> u16 {
@@ -143,8 +144,9 @@
     assert_eq!(naive_attempts(6, 3), 4_096);
 }
 
-// A caller resends under one id. A copy that follows a dispatched one pays for itself, a copy
-// beside a running one holds nothing, and one that was refused here at once costs nothing.
+// A caller resends a request with the same id. A copy that follows a dispatched one pays for
+// itself, a copy beside a running one gets no retries, and one that was refused at this node costs
+// nothing.
 #[test]
 fn copies_share_one_allowance() {
     let at = time::NodeTime::from_millis;
@@ -162,7 +164,7 @@
     assert_eq!(ledger.begin(later, id, 2), resend::ResendGrant::Granted(2));
 }
 
-// A flood of ids pushes out the oldest ones; memory stays bounded and the latest are kept.
+// A flood of ids evicts the oldest ones: memory stays bounded, and the latest ids are retained.
 #[test]
 fn ledger_is_bounded() {
     let now = time::NodeTime::START;
--- a/crates/anvil_overload/tests/limit.rs
+++ b/crates/anvil_overload/tests/limit.rs
@@ -1,4 +1,4 @@
-//! The limit at the target against targets that lie or change, in injected time.
+//! Adaptive concurrency limit with targets that announce wrong slots or change, in simulated time.
 
 use std::time::Duration;
 
@@ -6,13 +6,13 @@
 use anvil_testkit::test_cases;
 use anvil_types::time;
 
-/// A target whose runs take a time that depends on how many there are, always fully asked.
+/// A target whose latency depends on its concurrency, with more demand than it can run.
 struct BusyTarget<Time> {
     time_of: Time,
     slots: u32,
 }
 
-/// A limit to be compared: how many may run, and what each run showed.
+/// A concurrency limit algorithm under comparison.
 trait Limit {
     fn current(&self) -> u32;
     fn run_started(&mut self, running: u32);
@@ -38,7 +38,8 @@
     }
 }
 
-/// The usual gradient: the limit follows the ratio of the best latency to the present one.
+/// The common gradient algorithm: the limit follows the ratio of the best latency to the current
+/// one.
 struct NaiveGradient {
     slots: f64,
     limit: f64,
@@ -64,8 +65,8 @@
 where
     Time: Fn(f64, u32) -> Duration,
 {
-    /// Keeps the target as busy as the limit allows for some seconds; returns the answers of the
-    /// last of them and the limit at the end.
+    /// Keeps the target as busy as the limit allows for some seconds; returns the number of answers
+    /// in the last second and the final limit.
     fn drive<Bound>(&self, limit: &mut Bound, seconds: f64) -> (u32, u32)
     where
         Bound: Limit,
@@ -107,9 +108,9 @@
     }
 }
 
-// A target slows to a fifth for reasons of its own. Its callers get a fifth of the answers and no
-// less: the slots stay. The usual gradient takes the slots away as well, since it can't tell a
-// slow target from a crowded one.
+// A target slows down to a fifth of its speed for internal reasons. It must keep its slots, so that
+// its callers still get a fifth of the answers. The gradient algorithm takes the slots away as
+// well, because it cannot tell a slow target from an overloaded one.
 #[test]
 fn slow_target_keeps_its_slots() {
     let time_of = |at: f64, _| Duration::from_millis(if at < 3.0 { 20 } else { 100 });
@@ -121,27 +122,27 @@
     assert!(few < 300, "{few} of 400");
 }
 
-// A target announces forty slots and its runs slow one another from eight on, so forty at once
-// take five times as long as eight and give no more answers. Callers' waits count, so the limit
-// settles where a run takes about twice as long as at the ten slots of its start, give or take
-// one step of two slots.
-fn crowded_target_gets_fewer(from: u32, least: u32, most: u32) {
+// A target announces forty slots, but its runs slow each other down from eight on, so that forty
+// concurrent runs take five times as long as eight and give no more answers. The waits of callers
+// count as well, so the limit settles where a run takes about twice as long as at the initial ten
+// slots, give or take one step of two slots.
+fn overloaded_target_gets_fewer(knee: u32, min: u32, max: u32) {
     let time_of = move |_: f64, running: u32| {
-        let crowd = f64::from(running.max(from)) / f64::from(from);
-        Duration::from_millis(20).mul_f64(crowd)
+        let slowdown = f64::from(running.max(knee)) / f64::from(knee);
+        Duration::from_millis(20).mul_f64(slowdown)
     };
     let target = BusyTarget { time_of, slots: 40 };
     let (_, current) = target.drive(&mut limit(40), 20.0);
-    assert!(current >= least && current <= most, "limit {current}");
+    assert!(current >= min && current <= max, "limit {current}");
 }
 
 test_cases! {
-    crowded_target_gets_fewer:
+    overloaded_target_gets_fewer:
     limit_follows_a_knee_at_eight => (8, 8, 22),
     limit_follows_a_knee_at_twelve => (12, 12, 30),
 }
 
-// A target announces two slots and could run forty. Its word is an upper bound.
+// A target announces two slots and could run forty. The announced slots are an upper bound.
 #[test]
 fn announced_slots_bind() {
     let time_of = |_: f64, _| Duration::from_millis(5);
@@ -150,7 +151,7 @@
     assert_eq!(current, 2);
 }
 
-// A target that just came gets a quarter of its slots, and all of them after a few windows.
+// A new target gets a quarter of its slots at first, and all of them after a few windows.
 #[test]
 fn cold_target_is_ramped_up() {
     let mut cold = limit(40);
@@ -161,22 +162,23 @@
     assert_eq!(current, 40);
 }
 
-// A service deep below is sick and the runs of a healthy one in the middle wait for it. Own time
-// leaves the waits out, so no slot is lost; taken as a whole, latency starts a trial.
-fn middle_is_judged_by_its_own_time(attribution: bool, tried: bool) {
+// A downstream service is slow, and the runs of a healthy service wait for it. With attribution
+// these waits are left out and no slot is lost; without it, the whole latency counts and starts a
+// trial.
+fn service_is_evaluated_by_its_own_time(attribution: bool, reduced: bool) {
     let policy = policy::OverloadPolicy {
         attribution,
         cold_ramp: false,
         ..policy::OverloadPolicy::FULL
     };
     let mut limit = limit::ConcurrencyLimit::new(time::NodeTime::START, 40, policy);
-    let mut least = 40;
+    let mut lowest = 40;
     for round in 0..100_u64 {
-        let sick = round >= 10;
-        let downstream = Duration::from_millis(if sick { 200 } else { 10 });
+        let is_slow = round >= 10;
+        let downstream = Duration::from_millis(if is_slow { 200 } else { 10 });
         let now = time::NodeTime::from_millis(300 * (round + 1));
-        // More wait at once while the deep service is sick.
-        let running = if sick { 40 } else { 10 };
+        // More runs wait at the same time while the downstream service is slow.
+        let running = if is_slow { 40 } else { 10 };
         for _ in 0..20 {
             limit.run_started(running);
             let sample = limit::RunSample {
@@ -186,19 +188,19 @@
             };
             limit.observe(now, sample);
         }
-        least = least.min(limit.current());
+        lowest = lowest.min(limit.current());
     }
-    assert_eq!(least < 40, tried);
+    assert_eq!(lowest < 40, reduced);
 }
 
 test_cases! {
-    middle_is_judged_by_its_own_time:
-    healthy_middle_keeps_its_slots => (true, false),
+    service_is_evaluated_by_its_own_time:
+    waiting_service_keeps_its_slots => (true, false),
     without_attribution_it_loses_some => (false, true),
 }
 
-// The target refuses runs by itself: it can't do what it announced. The limit falls below what
-// ran at once and comes back step by step.
+// The target refuses runs because it cannot run what it announced. The limit falls below the
+// concurrency at the refusal and recovers step by step.
 #[test]
 fn refusals_of_the_target_cut_the_limit() {
     let policy = policy::OverloadPolicy {
@@ -216,9 +218,9 @@
     assert_eq!(limit.current(), 16);
 }
 
-// More is asked of a target than it can run, and its runs take 1.3 times as long once more than 95
-// in 100 of its slots are in use. Callers get more answers a second where a slot stays free.
-fn spare_slots_bring_more_answers(slots: u32, least_gain: f64) {
+// A target is overloaded, and its runs take 1.3 times as long once more than 95 in 100 of its slots
+// are in use. It completes more requests a second if a slot stays free.
+fn spare_slots_bring_more_answers(slots: u32, min_gain: f64) {
     let time_of = move |_: f64, running: u32| {
         let nearly_full = f64::from(running) > 0.95 * f64::from(slots);
         Duration::from_millis(if nearly_full { 29 } else { 22 })
@@ -235,7 +237,7 @@
         f64::from(target.drive(&mut limit, 5.0).0)
     };
     let gain = answers(true) / answers(false);
-    assert!(gain >= least_gain, "{gain}");
+    assert!(gain >= min_gain, "{gain}");
 }
 
 test_cases! {
--- a/crates/anvil_overload/tests/returning.rs
+++ b/crates/anvil_overload/tests/returning.rs
@@ -1,4 +1,4 @@
-//! When refused callers are told to come back, in injected time.
+//! Pauses that refused callers are given.
 
 use std::time::Duration;
 
@@ -14,9 +14,10 @@
     pauses.collect()
 }
 
-// A burst brings more lookups than the deep service bears, and a third are refused. Whoever comes
-// back after a second has used up its objective and its answer is worth a part; so callers are told
-// to come back while half of the objective is left for the answer, each at another moment.
+// A burst brings more lookups than the downstream service can run, and a third are refused. A
+// caller that returns after a second has used up its objective, and its answer has only a part of
+// its value. Callers are therefore told to return while half of the objective is left for the
+// answer, each at a different time.
 #[test]
 fn refused_callers_return_within_their_objective() {
     let pauses = pauses(OBJECTIVE, Duration::from_millis(20));
@@ -30,22 +31,22 @@
     assert!(apart.len() >= 200, "{} moments", apart.len());
 }
 
-// A request waited in a queue until its objective was nearly over, and is refused. A pause of
-// nothing would bring it back into the same pressure at once.
-fn a_pause_is_never_nothing(elapsed_ms: u64) {
+// A request is refused after it waited in a queue until its objective was nearly over. Without a
+// minimum pause it would return under the same load at once.
+fn pause_has_a_lower_bound(elapsed_ms: u64) {
     let pauses = pauses(OBJECTIVE, Duration::from_millis(elapsed_ms));
     let short = |pause: &Duration| *pause < Duration::from_millis(100);
     assert!(!pauses.iter().any(short));
 }
 
 test_cases! {
-    a_pause_is_never_nothing:
+    pause_has_a_lower_bound:
     near_the_objective => (1_190),
-    behind_the_objective => (3_000),
+    after_the_objective => (3_000),
 }
 
-// All nodes were killed and are back within a second or so. Callers told to return at once would
-// be refused twice and give up.
+// All nodes were killed and restart within about a second. Callers told to return at once would be
+// refused twice and give up.
 #[test]
 fn callers_of_a_restarting_service_return_after_the_restart() {
     let first = refusal::retry_after_restart(context::LaneHash(0));
--- a/crates/anvil_overload/tests/routing.rs
+++ b/crates/anvil_overload/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Which target gets the next request, in injected time.
+//! Choice of targets, in simulated time.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -33,7 +33,7 @@
     }
 }
 
-/// A table in zone a that has known `targets` for long.
+/// A table in zone a that has known `targets` for a long time.
 fn table(policy: policy::OverloadPolicy, targets: &[(u64, char, u32)]) -> routing::RouteTable {
     let mut table = routing::RouteTable::new(zone('a'), 5, policy);
     for (node, letter, slots) in targets {
@@ -43,10 +43,10 @@
 }
 
 fn choose(table: &mut routing::RouteTable, now: time::NodeTime, lane: u8) -> routing::RouteChoice {
-    choose_but(table, now, lane, &[])
+    choose_excluding(table, now, lane, &[])
 }
 
-fn choose_but(
+fn choose_excluding(
     table: &mut routing::RouteTable,
     now: time::NodeTime,
     lane: u8,
@@ -100,7 +100,7 @@
     table.attempt_ended(now, &service(), ident::NodeId(node), report);
 }
 
-/// Sends `count` requests that stay out, and counts them by target.
+/// Sends `count` requests that stay in flight, and counts them by target.
 fn send(table: &mut routing::RouteTable, now: time::NodeTime, count: u32) -> Vec<(u64, u32)> {
     let mut sent: Vec<(u64, u32)> = Vec::new();
     for _ in 0..count {
@@ -121,8 +121,8 @@
     place.map_or(0, |place| sent[place].1)
 }
 
-// Two targets have forty slots and two have eight. Each in turn would give the small ones as much
-// as the large ones; the better of two follows the slots.
+// Two targets have forty slots and two have eight. Routing in turn gives the small ones as many
+// requests as the large ones; the better of two follows the slots.
 #[test]
 fn uneven_targets_get_uneven_shares() {
     let targets = [(1, 'a', 40), (2, 'a', 40), (3, 'a', 8), (4, 'a', 8)];
@@ -143,7 +143,8 @@
     assert_eq!(count_of(&sent, 3), 24);
 }
 
-// The own zone has one small target. It is used first, and what it can't take goes elsewhere.
+// The own zone has one small target. It is used first, and requests beyond its capacity go to other
+// zones.
 #[test]
 fn short_zone_spills() {
     let targets = [(1, 'a', 8), (2, 'b', 8), (3, 'b', 8)];
@@ -155,9 +156,9 @@
     assert!(count_of(&many, 2) + count_of(&many, 3) >= 10, "{many:?}");
 }
 
-/// A table where bytes between zones are dear, whose target of the own zone has `waiting` requests
-/// before a new one and whose other target is free; a run takes 30 ms at both.
-fn strained_home(waiting: u16) -> routing::RouteTable {
+/// A table with expensive traffic between zones. The target of the own zone has `waiting` requests
+/// queued and the target of the other zone is free; a run takes 30 ms at both.
+fn busy_own_zone(waiting: u16) -> routing::RouteTable {
     let policy = policy::OverloadPolicy {
         stay_in_zone: true,
         ..policy::OverloadPolicy::FULL
@@ -182,10 +183,11 @@
     table
 }
 
-// A short call waits for a while in its own zone and then goes where there is room. A claim of
-// 10 KB, of which a hundred cost as much as a lookup is worth, waits for ten times as long.
+// A short call waits for a while in its own zone and then goes to a free target elsewhere. A claim
+// of 10 KB waits ten times as long: a hundred of them across zones cost as much as a lookup is
+// worth.
 fn bytes_are_weighed_against_the_wait(bytes: u32, answer: u32, waiting: u16, node: u64) {
-    let mut table = strained_home(waiting);
+    let mut table = busy_own_zone(waiting);
     let report = routing::AttemptReport {
         class: NORMAL,
         kind: kind::CallKind(1),
@@ -207,8 +209,8 @@
     a_call_with_a_long_answer_stays => (130, 10_000, 60, 1),
 }
 
-/// The first target answers that it leaves, at its node's announcement `announced`.
-fn tell_leaving(table: &mut routing::RouteTable, now: time::NodeTime, announced: u32) {
+/// Target 1 answers that it is leaving, with its node's announcement number `announced`.
+fn report_leaving(table: &mut routing::RouteTable, now: time::NodeTime, announced: u32) {
     let refused = call::LoadReport {
         leaving: true,
         announced,
@@ -223,20 +225,21 @@
     );
 }
 
-// A target's answer says that it leaves; membership has not heard and renews it as serving. It
-// gets nothing from that answer on.
+// An answer reports that its target is leaving; membership does not know it yet and updates the
+// target as serving. The target gets no request after that answer.
 #[test]
 fn leaving_target_gets_nothing_at_once() {
     let mut table = table(policy::OverloadPolicy::FULL, &[(1, 'a', 8), (2, 'b', 8)]);
-    tell_leaving(&mut table, at(9_000), 0);
+    report_leaving(&mut table, at(9_000), 0);
     table.upsert(at(9_001), &service(), &record(1, 'a', 8));
     let sent = send(&mut table, at(9_002), 40);
     assert_eq!(count_of(&sent, 1), 0);
 }
 
-// A target leaves and its successor is announced 400 ms later, as in a release. The refusal that told of
-// the leaving came on a slow connection, in between or even behind the announcement. Taken for newer than
-// that, it would keep this node from the target for ever, since nothing is sent that could tell better.
+// A target leaves and its successor is announced 400 ms later, as in a release. The refusal that
+// reported the leaving is delayed on a slow connection and arrives before or even after the
+// announcement. If it were taken for newer, this node would never send to the target again, because
+// no answer could correct it.
 fn a_successor_is_used_at_once(refusal: u64, announcement: u64) {
     let mut table = table(policy::OverloadPolicy::FULL, &[(1, 'a', 8), (2, 'a', 8)]);
     let successor = routing::TargetRecord {
@@ -245,7 +248,7 @@
     };
     for now in [at(9_000), at(9_400)] {
         if now == at(refusal) {
-            tell_leaving(&mut table, now, 7);
+            report_leaving(&mut table, now, 7);
         }
         if now == at(announcement) {
             table.upsert(now, &service(), &successor);
@@ -261,18 +264,19 @@
     announced_before_the_refusal_arrives => (9_400, 9_000),
 }
 
-// A target's answer says that it leaves, and no announcement of its ever comes to this node, as its
-// datagrams are lost. It is asked again after a while, and what it answers then decides.
+// An answer reports that its target is leaving, and no announcement of it ever reaches this node,
+// because its datagrams are lost. The target is tried again after a while, and its answer then
+// decides.
 #[test]
-fn a_leaving_that_nobody_confirms_is_asked_about_again() {
+fn unconfirmed_leaving_expires() {
     let mut table = table(policy::OverloadPolicy::FULL, &[(1, 'a', 8), (2, 'a', 8)]);
-    tell_leaving(&mut table, at(9_000), 0);
+    report_leaving(&mut table, at(9_000), 0);
     assert_eq!(count_of(&send(&mut table, at(18_000), 40), 1), 0);
     assert!(count_of(&send(&mut table, at(19_100), 80), 1) > 0);
 }
 
-// A target answers every request at once with a server error. It has the fewest in flight, so it
-// would draw all requests; it is left out, and tried again later.
+// A target answers every request immediately with a server error. It has the fewest requests in
+// flight and would attract all of them; it is ejected and tried again later.
 #[test]
 fn fast_failing_target_is_left_out() {
     let mut table = table(
@@ -302,8 +306,8 @@
     assert!(count_of(&send(&mut table, later, 40), 1) > 0);
 }
 
-// All targets fail alike, since something they all need is down, or this node's own network is.
-// Leaving targets out helps nobody; at least half of them stay in any case.
+// All targets fail alike, because a common dependency or this node's own network is down. Ejecting
+// targets does not help; at least half of them stay in use.
 #[test]
 fn ejections_never_empty_a_service() {
     let mut table = table(
@@ -325,8 +329,8 @@
     assert!(sent.len() >= 2, "{sent:?}");
 }
 
-// A report from a second ago says that a target is full. What this node itself has out counts at
-// once, what is stale counts no more.
+// A report that is one second old says that a target is full. The requests of this node count at
+// once, and the stale report is ignored.
 #[test]
 fn stale_load_counts_no_more() {
     let mut table = table(policy::OverloadPolicy::FULL, &[(1, 'a', 8), (2, 'a', 8)]);
@@ -348,19 +352,20 @@
     assert!(count_of(&send(&mut table, later, 8), 1) >= 4);
 }
 
-// A retry goes to a target that has not been tried; where none is left, that is said.
+// A retry goes to a target that has not been tried; if none is left, the choice is `NoTarget`.
 #[test]
 fn tried_targets_are_excluded() {
     let mut table = table(policy::OverloadPolicy::FULL, &[(1, 'a', 8), (2, 'b', 8)]);
-    let choice = choose_but(&mut table, at(9_000), 0, &[ident::NodeId(1)]);
+    let choice = choose_excluding(&mut table, at(9_000), 0, &[ident::NodeId(1)]);
     assert_eq!(node_of(choice), Some(2));
     let both = [ident::NodeId(1), ident::NodeId(2)];
-    let choice = choose_but(&mut table, at(9_000), 0, &both);
+    let choice = choose_excluding(&mut table, at(9_000), 0, &both);
     assert_eq!(choice, routing::RouteChoice::NoTarget);
 }
 
-// One target of three reports a line. Requests below it go to the others; when two report it, the
-// service as a whole refuses them, and a while after the last report it takes them again.
+// One target of three reports a cut line. Requests below it go to the others. Once two targets
+// report it, the service as a whole refuses them, and after the line has expired it accepts them
+// again.
 #[test]
 fn lines_refuse_only_what_most_targets_refuse() {
     let targets = [(1, 'a', 8), (2, 'a', 8), (3, 'a', 8)];
@@ -397,16 +402,24 @@
     assert!(node_of(choose(&mut table, at(9_000), 50)).is_some());
     let later = at(9_000) + cut::MIN_CUT_EXPIRY;
     assert!(node_of(choose(&mut table, later, 255)).is_some());
-    let spared = policy::OverloadPolicy {
+    let without_early_refusal = policy::OverloadPolicy {
         early_refusal: false,
         ..policy::OverloadPolicy::FULL
     };
-    assert!(node_of(choose(&mut self::table(spared, &targets), at(9_000), 255)).is_some());
+    assert!(
+        node_of(choose(
+            &mut self::table(without_early_refusal, &targets),
+            at(9_000),
+            255
+        ))
+        .is_some()
+    );
 }
 
-// A service has forty targets, of which a node hears five; all five refuse what is low. A low request is
-// refused at once: the others are as full, and trying them one by one would only take time. A target that
-// alone tells of a line says nothing of the others.
+// A service has forty targets, and a node has answers from five of them, which all refuse low
+// levels. A request of a low level is refused at once: the others are assumed to be as busy, and
+// trying them one by one would only take time. A line of a single target says nothing about the
+// others.
 #[test]
 fn targets_never_heard_are_taken_to_be_as_the_others() {
     let targets: Vec<_> = (1..=40).map(|node| (node, 'a', 8)).collect();
@@ -420,22 +433,23 @@
         cut: Some(line),
         ..call::LoadReport::default()
     };
-    let told = |table: &mut routing::RouteTable, node| {
-        let fine = routing::AttemptEnd::Succeeded;
-        end(table, at(9_000), node, fine, Some(&load));
+    let report_line = |table: &mut routing::RouteTable, node| {
+        let succeeded = routing::AttemptEnd::Succeeded;
+        end(table, at(9_000), node, succeeded, Some(&load));
     };
-    told(&mut table, 1);
+    report_line(&mut table, 1);
     assert!(node_of(choose(&mut table, at(9_000), 200)).is_some());
-    (2..=5).for_each(|node| told(&mut table, node));
+    (2..=5).for_each(|node| report_line(&mut table, node));
     let shed = routing::RouteChoice::Shed(line);
     assert_eq!(choose(&mut table, at(9_000), 200), shed);
     assert!(node_of(choose(&mut table, at(9_000), 50)).is_some());
 }
 
-// A node of a large fleet sends a request of one kind three times a second. What an answer tells of the
-// services below holds for the next ones, so that those below the line are not begun in between; a node that
-// sends often lets it fade soon, and no line outlives its last answer by more than some seconds.
-fn line_lasts_for_some_requests(gap: u64, holds: u64, gone: u64) {
+// A node of a large fleet sends three requests of one kind a second. The line that an answer
+// reports for downstream services applies to the next requests, so that those below it are not
+// started in between. At a node that sends often the line expires sooner, and no line outlives its
+// last answer by more than a few seconds.
+fn line_lasts_for_some_requests(gap: u64, holds: u64, expired: u64) {
     let mut table = table(policy::OverloadPolicy::FULL, &[(1, 'a', 8)]);
     let line = call::CutLine {
         class: NORMAL,
@@ -460,7 +474,7 @@
     }
     let shed = routing::RouteChoice::Shed(line);
     assert_eq!(choose(&mut table.clone(), at(last + holds), 156), shed);
-    assert!(node_of(choose(&mut table, at(last + gone), 255)).is_some());
+    assert!(node_of(choose(&mut table, at(last + expired), 255)).is_some());
 }
 
 test_cases! {
@@ -470,14 +484,14 @@
     sent_every_other_second => (2_000, 1_000, 3_000),
 }
 
-// A lookup has been let in and makes its eight calls at a deep service whose line moves by some lanes from
-// one target to the next. Its calls pass a little below the line, else it would fail at the highest of eight
-// lines with most of its work done; what has not begun is refused, and so is what lies far below, or in a
-// class below the line's.
-fn line_gives_way_to_begun_requests(
+// An admitted lookup makes eight calls to a downstream service whose line differs by some lanes
+// from target to target. Its calls pass slightly below the line; otherwise it would fail at the
+// highest of eight lines with most of its work done. Requests that have not begun are refused, and
+// so are those far below the line or in a lower class.
+fn line_favors_admitted_requests(
     line: (context::PriorityClass, u8),
     (depth, lane): (u8, u8),
-    taken: bool,
+    admitted: bool,
 ) {
     let mut table = table(policy::OverloadPolicy::FULL, &[(1, 'a', 8)]);
     let line = call::CutLine {
@@ -501,20 +515,20 @@
     let mut query = query(&service, lane, 130, &[]);
     query.rank.depth = depth;
     let chosen = node_of(table.choose(now, query)).is_some();
-    assert_eq!(chosen, taken);
-    assert_eq!(rank::admits(Some(&line), &query.rank), taken);
+    assert_eq!(chosen, admitted);
+    assert_eq!(rank::admits(Some(&line), &query.rank), admitted);
 }
 
 test_cases! {
-    line_gives_way_to_begun_requests:
-    a_begun_one_just_below_passes => ((NORMAL, 100), (3, 150), true),
-    one_that_has_not_begun_is_refused => ((NORMAL, 100), (0, 150), false),
-    a_begun_one_far_below_is_refused => ((NORMAL, 100), (3, 170), false),
-    a_begun_one_of_the_class_below_is_refused => (
+    line_favors_admitted_requests:
+    admitted_just_below_passes => ((NORMAL, 100), (3, 150), true),
+    new_request_is_refused => ((NORMAL, 100), (0, 150), false),
+    admitted_far_below_is_refused => ((NORMAL, 100), (3, 170), false),
+    admitted_of_the_class_below_is_refused => (
         (context::PriorityClass::High, 255), (3, 0), false),
 }
 
-// A target comes new among old ones and gets a part of its share first.
+// A new target gets only a part of its share at first.
 #[test]
 fn new_target_starts_slowly() {
     let mut table = table(policy::OverloadPolicy::FULL, &[(1, 'a', 40), (2, 'a', 40)]);
