--- a/crates/anvil_quota/benches/letting_in.rs
+++ b/crates/anvil_quota/benches/letting_in.rs
@@ -1,4 +1,5 @@
-//! What a request costs by its key and its quota, among a thousand accounts.
+//! Cost of a key lookup and of a quota decision, among a thousand accounts: `cargo bench -p
+//! anvil_quota`.
 
 use std::net::SocketAddr;
 
@@ -39,7 +40,7 @@
     });
 }
 
-/// The same for a key that nobody holds.
+/// Digests a key that no account holds, and looks it up.
 #[divan::bench]
 fn wrong_key(bencher: Bencher<'_, '_>) {
     let index = index();
@@ -49,7 +50,7 @@
     });
 }
 
-/// Takes a token that is at hand, at the home of the account.
+/// Takes an available token at the home of the account.
 #[divan::bench]
 fn token_at_hand(bencher: Bencher<'_, '_>) {
     let node = ident::NodeId(1);
--- a/crates/anvil_quota/examples/quota_ways.rs
+++ b/crates/anvil_quota/examples/quota_ways.rs
@@ -1,5 +1,5 @@
-//! Compares ways to hold an account's quota over a fleet: tokens taken ahead of the home's count, each
-//! request asked for, and counts that every node tells all others.
+//! Compares methods to enforce an account's quota over a fleet: tokens taken ahead of the home's
+//! count, a verdict for each request, and counts that every node publishes to all others.
 //!
 //! `cargo run --release -p anvil_quota --example quota_ways`
 
@@ -14,30 +14,30 @@
 use fleet::{AccountLoad, FleetFault, FleetPlan};
 use rand_core::{Rng, SeedableRng};
 
-/// Seeds of each row.
+/// Number of seeds of each row.
 const SEEDS: u64 = 5;
 
-/// Time between two tellings of the counts.
-const TELL_MILLIS: u64 = 250;
+/// Interval at which nodes publish their counts.
+const PUBLISH_MILLIS: u64 = 250;
 
-/// Bytes of one count that is told: account, sum, and its part of a datagram's head.
+/// Size in bytes of one published count: account, sum, and its part of the header of a datagram.
 const COUNT_BYTES: usize = 16;
 
-/// What one way gave over all seeds.
+/// Result of one method over all seeds.
 #[derive(Default)]
-struct WayRow {
+struct ModeRow {
     over: f64,
     arrived: usize,
-    falsely: usize,
+    refused_falsely: usize,
     p50: u64,
     p99: u64,
     bytes: usize,
 }
 
 fn accounts(surging: bool) -> Vec<AccountLoad> {
-    let load = |rate: u32, usual: f64, surge: f64| AccountLoad {
+    let load = |rate: u32, normal: f64, surge: f64| AccountLoad {
         quota: account::AccountQuota::per_second(rate, rate),
-        usual,
+        normal,
         surge,
         nodes: 0,
     };
@@ -47,15 +47,15 @@
     loads
 }
 
-fn plan(nodes: usize, seed: u64, way: ledger::TokenMode, surging: bool, kills: bool) -> FleetPlan {
-    let kill = |turn: u64| {
-        let node = turn as usize * 7 % nodes;
-        (Duration::from_secs(3 * turn + 2), FleetFault::Kill(node))
+fn plan(nodes: usize, seed: u64, mode: ledger::TokenMode, surging: bool, kills: bool) -> FleetPlan {
+    let kill = |index: u64| {
+        let node = index as usize * 7 % nodes;
+        (Duration::from_secs(3 * index + 2), FleetFault::Kill(node))
     };
     FleetPlan {
         nodes,
         seed,
-        way,
+        mode,
         delay_micros: 3_000,
         lost_per_mille: 10,
         length: Duration::from_secs(20),
@@ -68,17 +68,17 @@
     }
 }
 
-fn by_ledger(nodes: usize, way: ledger::TokenMode, surging: bool, kills: bool) -> WayRow {
-    let mut row = WayRow {
+fn simulate_ledger(nodes: usize, mode: ledger::TokenMode, surging: bool, kills: bool) -> ModeRow {
+    let mut row = ModeRow {
         over: f64::MIN,
-        ..WayRow::default()
+        ..ModeRow::default()
     };
     for seed in 0..SEEDS {
-        let tally = fleet::play(plan(nodes, seed, way, surging, kills));
+        let tally = fleet::simulate(plan(nodes, seed, mode, surging, kills));
         for account in &tally.accounts {
             row.over = row.over.max(account.over);
             row.arrived += account.arrived;
-            row.falsely += account.refused_falsely;
+            row.refused_falsely += account.refused_falsely;
         }
         row.p50 = row.p50.max(tally.wait(0.5));
         row.p99 = row.p99.max(tally.wait(0.99));
@@ -87,11 +87,12 @@
     row
 }
 
-/// Every node admits by the sums that the others told last, less what may have come since.
-fn by_counts(nodes: usize, surging: bool) -> WayRow {
-    let mut row = WayRow {
+/// Simulates nodes that admit by the counts that the others last published, less an estimate of the
+/// requests since.
+fn simulate_counts(nodes: usize, surging: bool) -> ModeRow {
+    let mut row = ModeRow {
         over: f64::MIN,
-        ..WayRow::default()
+        ..ModeRow::default()
     };
     for seed in 0..SEEDS {
         for load in accounts(surging) {
@@ -101,43 +102,44 @@
     row
 }
 
-fn count_account(nodes: usize, seed: u64, load: AccountLoad, row: &mut WayRow) {
+fn count_account(nodes: usize, seed: u64, load: AccountLoad, row: &mut ModeRow) {
     let mut rng = rand_pcg::Pcg64Mcg::seed_from_u64(seed);
     let rate = load.quota.rate();
     let burst = f64::from(load.quota.burst);
     let allowed = fleet::tally::allowed(load.quota);
-    // What each node has told, and what it has let in since; a bucket of the fleet as told.
-    let mut untold = vec![0_u32; nodes];
+    // Requests that each node admitted since it last published, and a bucket of the fleet as
+    // published.
+    let mut unpublished = vec![0_u32; nodes];
     let mut level = burst;
     let mut exact = burst;
     let mut admitted: Vec<u64> = Vec::new();
     for milli in 0..20_000_u64 {
         level = (level + rate / 1_000.0).min(burst);
         exact = (exact + rate / 1_000.0).min(burst);
-        if milli % TELL_MILLIS == 0 {
-            let told: u32 = untold.iter().sum();
-            let telling = untold.iter().filter(|count| **count > 0).count();
-            row.bytes += telling * (nodes - 1) * COUNT_BYTES;
-            level -= f64::from(told);
-            untold.fill(0);
+        if milli % PUBLISH_MILLIS == 0 {
+            let published: u32 = unpublished.iter().sum();
+            let publishing = unpublished.iter().filter(|count| **count > 0).count();
+            row.bytes += publishing * (nodes - 1) * COUNT_BYTES;
+            level -= f64::from(published);
+            unpublished.fill(0);
         }
         let surging = (6_000..13_000).contains(&milli);
-        let a_milli = if surging { load.surge } else { load.usual } / 1_000.0;
-        let whole = a_milli.floor();
+        let a_milli = if surging { load.surge } else { load.normal } / 1_000.0;
+        let certain = a_milli.floor();
         let chance = (rng.next_u64() >> 11) as f64 / (1_u64 << 53) as f64;
-        let count = whole as u64 + u64::from(chance < a_milli - whole);
+        let count = certain as u64 + u64::from(chance < a_milli - certain);
         for _ in 0..count {
             row.arrived += 1;
             let had_token = exact >= 1.0;
             exact -= f64::from(u8::from(had_token));
             let node = (rng.next_u64() % nodes as u64) as usize;
-            // Others are taken to go on as this node does.
-            let own = f64::from(untold[node] + 1);
+            // The other nodes are assumed to admit as many requests as this node.
+            let own = f64::from(unpublished[node] + 1);
             if level - own * nodes as f64 >= 0.0 {
-                untold[node] += 1;
+                unpublished[node] += 1;
                 admitted.push(milli);
             } else {
-                row.falsely += usize::from(had_token);
+                row.refused_falsely += usize::from(had_token);
             }
         }
     }
@@ -147,11 +149,11 @@
     }
 }
 
-fn print(nodes: usize, load: &str, way: &str, row: &WayRow) {
-    let share = row.falsely as f64 / row.arrived.max(1) as f64;
+fn print(nodes: usize, load: &str, mode: &str, row: &ModeRow) {
+    let share = row.refused_falsely as f64 / row.arrived.max(1) as f64;
     let seconds = 20.0 * SEEDS as f64;
     println!(
-        "{nodes:>5} {load:<14} {way:<8} {:>9.1} {:>10.5} {:>8.2} {:>8.2} {:>10.1}",
+        "{nodes:>5} {load:<14} {mode:<8} {:>9.1} {:>10.5} {:>8.2} {:>8.2} {:>10.1}",
         row.over,
         share,
         row.p50 as f64 / 1_000.0,
@@ -171,14 +173,19 @@
             ("surge", true, false),
             ("surge, kills", true, true),
         ] {
-            for (name, way) in [
+            for (name, mode) in [
                 ("ahead", ledger::TokenMode::Ahead),
                 ("ask", ledger::TokenMode::PerRequest),
             ] {
-                print(nodes, load, name, &by_ledger(nodes, way, surging, kills));
+                print(
+                    nodes,
+                    load,
+                    name,
+                    &simulate_ledger(nodes, mode, surging, kills),
+                );
             }
             if !kills {
-                print(nodes, load, "counts", &by_counts(nodes, surging));
+                print(nodes, load, "counts", &simulate_counts(nodes, surging));
             }
         }
     }
--- a/crates/anvil_quota/tests/fleet/mod.rs
+++ b/crates/anvil_quota/tests/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet of ledgers over a network that delays, loses and cuts, in injected time.
+//! A fleet of ledgers over a network with delays, losses and partitions, in simulated time.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -15,53 +15,54 @@
 
 use tally::FleetTally;
 
-/// One kind of load on one account.
+/// Load of one account.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AccountLoad {
-    /// What it may ask for.
+    /// Its quota.
     pub(crate) quota: account::AccountQuota,
     /// Requests a second over all nodes, before the surge.
-    pub(crate) usual: f64,
+    pub(crate) normal: f64,
     /// Requests a second within the surge.
     pub(crate) surge: f64,
-    /// Nodes that the requests come to; all where zero.
+    /// Number of nodes that receive the requests; all if zero.
     pub(crate) nodes: usize,
 }
 
-/// What happens to the fleet.
+/// A fault of the fleet.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum FleetFault {
-    /// A process ends without a word, and another one starts in its place two seconds later.
+    /// A process crashes, and another one starts in its place two seconds later.
     Kill(usize),
-    /// All processes end at once; others start in their places a second later and find each other bit by
-    /// bit.
+    /// All processes crash at the same time; new ones start in their places a second later and
+    /// discover each other gradually.
     KillAll,
-    /// The same, and each knows half of the others at first and the rest within 2.5 s.
+    /// Like `KillAll`, but each process knows half of the others at first and the rest within 2.5
+    /// s.
     KillAllBlind,
-    /// The same, and each knows a few of the others at first and the rest within 5 s.
+    /// Like `KillAll`, but each process knows a few of the others at first and the rest within 5 s.
     KillAllScattered,
-    /// A node can't be reached, and reaches nobody, for a while.
+    /// A node is partitioned from all others for a while.
     Cut(usize, Duration),
-    /// A node sees no time pass for a while.
+    /// A process is paused for a while.
     Freeze(usize, Duration),
 }
 
-/// How a fleet is played.
+/// Plan of a simulation.
 #[derive(Clone, Debug)]
 pub(crate) struct FleetPlan {
-    /// Nodes.
+    /// Number of nodes.
     pub(crate) nodes: usize,
-    /// Seed of all chance.
+    /// Seed of the random number generator.
     pub(crate) seed: u64,
-    /// When tokens are taken.
-    pub(crate) way: ledger::TokenMode,
-    /// Longest time that a datagram takes, in microseconds.
+    /// When entry nodes take tokens.
+    pub(crate) mode: ledger::TokenMode,
+    /// Longest delay of a datagram, in microseconds.
     pub(crate) delay_micros: u64,
-    /// Datagrams lost of a thousand.
+    /// Lost datagrams in a thousand.
     pub(crate) lost_per_mille: u64,
-    /// How long requests come.
+    /// Time for which requests arrive.
     pub(crate) length: Duration,
-    /// From when to when accounts surge.
+    /// Start and end of the surge.
     pub(crate) surge: (Duration, Duration),
     /// The accounts.
     pub(crate) accounts: Vec<AccountLoad>,
@@ -86,7 +87,7 @@
     Fault {
         index: usize,
     },
-    Learn {
+    MemberChange {
         node: usize,
         other: usize,
         up: bool,
@@ -94,29 +95,29 @@
     },
     Restart {
         node: usize,
-        view: FreshView,
+        view: InitialView,
     },
 }
 
-/// Which others a process knows when it starts.
+/// The other members that a process knows when it starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum FreshView {
-    /// All, as it joins a fleet that lives.
-    Whole,
-    /// Six of seven, as all start together.
-    Wide,
+enum InitialView {
+    /// All of them, because it joins a running fleet.
+    Complete,
+    /// Six of seven, because all processes start together.
+    Most,
     /// Half of them.
     Half,
     /// One of six.
     Few,
 }
 
-impl FreshView {
-    /// When it hears of the others that it doesn't know, in milliseconds.
-    fn learns(self) -> Range<u64> {
+impl InitialView {
+    /// Range of delays after which it discovers the other members, in milliseconds.
+    fn discovery_delay(self) -> Range<u64> {
         match self {
-            Self::Whole => 100..500,
-            Self::Wide => 100..800,
+            Self::Complete => 100..500,
+            Self::Most => 100..800,
             Self::Half => 100..2_500,
             Self::Few => 100..5_000,
         }
@@ -127,13 +128,13 @@
     id: u64,
     ledger: Option<ledger::QuotaLedger>,
     frozen_until: time::NodeTime,
-    /// Before that it has no rules, so it answers nobody and serves no caller.
+    /// Until then it has no rules, so it neither answers nor serves callers.
     ready_at: time::NodeTime,
     cut_until: time::NodeTime,
     wake_at: Option<time::NodeTime>,
 }
 
-/// A request, and how it ended.
+/// A request and its result.
 #[derive(Clone, Copy, Debug)]
 struct FleetCall {
     account: usize,
@@ -142,8 +143,8 @@
     refused: bool,
 }
 
-/// A fleet being played.
-pub(crate) struct PlayedFleet {
+/// A simulated fleet.
+pub(crate) struct SimulatedFleet {
     plan: FleetPlan,
     rng: rand_pcg::Pcg64Mcg,
     now: time::NodeTime,
@@ -155,9 +156,9 @@
     tally: FleetTally,
 }
 
-/// Plays a plan to its end.
-pub(crate) fn play(plan: FleetPlan) -> FleetTally {
-    let mut fleet = PlayedFleet::new(plan);
+/// Simulates a plan to its end.
+pub(crate) fn simulate(plan: FleetPlan) -> FleetTally {
+    let mut fleet = SimulatedFleet::new(plan);
     fleet.run();
     fleet.into_tally()
 }
@@ -168,11 +169,11 @@
 }
 
 fn account_id(index: usize) -> account::AccountId {
-    // Spread over the ring like digests of names are.
+    // Spreads the accounts over the ring, as digests of names are.
     account::AccountId((index as u64 + 1).wrapping_mul(0x9E37_79B9_7F4A_7C15))
 }
 
-impl PlayedFleet {
+impl SimulatedFleet {
     fn new(plan: FleetPlan) -> Self {
         let rng = rand_pcg::Pcg64Mcg::seed_from_u64(plan.seed);
         let mut fleet = Self {
@@ -187,8 +188,8 @@
             plan,
         };
         for _ in 0..fleet.plan.nodes {
-            let id = fleet.mint();
-            let ledger = Some(fleet.fresh_ledger(id));
+            let id = fleet.next_node_id();
+            let ledger = Some(fleet.new_ledger(id));
             fleet.nodes.push(FleetNode {
                 id,
                 ledger,
@@ -214,13 +215,13 @@
         fleet
     }
 
-    fn mint(&mut self) -> u64 {
+    fn next_node_id(&mut self) -> u64 {
         self.ids += 1;
         self.rng.next_u64() | 1
     }
 
-    fn fresh_ledger(&self, id: u64) -> ledger::QuotaLedger {
-        let mut ledger = ledger::QuotaLedger::new(ident::NodeId(id), self.plan.way);
+    fn new_ledger(&self, id: u64) -> ledger::QuotaLedger {
+        let mut ledger = ledger::QuotaLedger::new(ident::NodeId(id), self.plan.mode);
         let quotas = self.plan.accounts.iter().enumerate();
         let quotas: Vec<_> = quotas
             .map(|(index, load)| (account_id(index), load.quota))
@@ -234,15 +235,15 @@
         self.queue.push(Reverse((at, self.sequence, event)));
     }
 
-    fn below(&mut self, bound: u64) -> u64 {
+    fn random_below(&mut self, bound: u64) -> u64 {
         self.rng.next_u64() % bound.max(1)
     }
 
-    fn unit(&mut self) -> f64 {
+    fn random_unit(&mut self) -> f64 {
         (self.rng.next_u64() >> 11) as f64 / (1_u64 << 53) as f64
     }
 
-    /// Requests of each account, at random times as independent callers send them.
+    /// Schedules the requests of each account at random times, as independent callers send them.
     fn plan_arrivals(&mut self) {
         for account in 0..self.plan.accounts.len() {
             let load = self.plan.accounts[account];
@@ -251,14 +252,14 @@
             while at < self.plan.length {
                 let rate = match (from..until).contains(&at) {
                     true => load.surge,
-                    false => load.usual,
+                    false => load.normal,
                 };
-                at += Duration::from_secs_f64(-(1.0 - self.unit()).ln() / rate.max(1e-3));
+                at += Duration::from_secs_f64(-(1.0 - self.random_unit()).ln() / rate.max(1e-3));
                 let nodes = match load.nodes {
                     0 => self.plan.nodes,
                     some => some.min(self.plan.nodes),
                 };
-                let node = self.below(nodes as u64) as usize;
+                let node = self.random_below(nodes as u64) as usize;
                 let at = self.now + at;
                 self.push(at, FleetEvent::Arrive { node, account });
             }
@@ -272,11 +273,11 @@
                 break;
             }
             self.now = self.now.max(at);
-            self.happen(event);
+            self.handle(event);
         }
     }
 
-    fn happen(&mut self, event: FleetEvent) {
+    fn handle(&mut self, event: FleetEvent) {
         match event {
             FleetEvent::Arrive { node, account } => self.arrive(node, account),
             FleetEvent::Deliver { from, to, bytes } => self.deliver(from, to, &bytes),
@@ -285,12 +286,12 @@
                 self.step(node, |ledger, now| ledger.on_wake(now));
             }
             FleetEvent::Fault { index } => self.fault(self.plan.faults[index].1),
-            FleetEvent::Learn {
+            FleetEvent::MemberChange {
                 node,
                 other,
                 up,
                 id,
-            } => self.learn(node, other, up, id),
+            } => self.change_member(node, other, up, id),
             FleetEvent::Restart { node, view } => self.restart(node, view),
         }
     }
@@ -329,10 +330,10 @@
                 self.tally.datagrams += 1;
                 self.tally.bytes += bytes.len();
                 let to = usize::from(to.port()) - 10_000;
-                if self.below(1_000) < self.plan.lost_per_mille {
+                if self.random_below(1_000) < self.plan.lost_per_mille {
                     return;
                 }
-                let micros = 200 + self.below(self.plan.delay_micros);
+                let micros = 200 + self.random_below(self.plan.delay_micros);
                 let at = self.now + Duration::from_micros(micros);
                 let from = node;
                 self.push(at, FleetEvent::Deliver { from, to, bytes });
@@ -349,8 +350,9 @@
 
     fn arrive(&mut self, node: usize, account: usize) {
         let call = self.calls.len();
-        let unready = |node: &FleetNode| node.ready_at > self.now || node.frozen_until > self.now;
-        if self.nodes[node].ledger.is_none() || unready(&self.nodes[node]) {
+        let is_unready =
+            |node: &FleetNode| node.ready_at > self.now || node.frozen_until > self.now;
+        if self.nodes[node].ledger.is_none() || is_unready(&self.nodes[node]) {
             return;
         }
         self.calls.push(FleetCall {
@@ -359,12 +361,12 @@
             admitted: None,
             refused: false,
         });
-        let mut decided = effect::QuotaDecision::Pending;
+        let mut decision = effect::QuotaDecision::Pending;
         self.step(node, |ledger, now| {
-            decided = ledger.admit(now, account_id(account), call as u64);
+            decision = ledger.admit(now, account_id(account), call as u64);
             Vec::new()
         });
-        match decided {
+        match decision {
             effect::QuotaDecision::Granted => self.admitted(call),
             effect::QuotaDecision::Refused { .. } => self.calls[call].refused = true,
             effect::QuotaDecision::Pending => {}
@@ -373,8 +375,8 @@
 
     fn deliver(&mut self, from: usize, to: usize, bytes: &[u8]) {
         let cut = |node: &FleetNode| node.cut_until > self.now;
-        let unready = self.nodes[to].ready_at > self.now;
-        if cut(&self.nodes[from]) || cut(&self.nodes[to]) || unready {
+        let is_unready = self.nodes[to].ready_at > self.now;
+        if cut(&self.nodes[from]) || cut(&self.nodes[to]) || is_unready {
             return;
         }
         let frozen = self.nodes[to].frozen_until;
@@ -395,28 +397,28 @@
             FleetFault::Kill(node) => {
                 let id = self.nodes[node].id;
                 self.nodes[node].ledger = None;
-                self.tell_others(node, false, id, 1_000..2_000);
+                self.schedule_notices(node, false, id, 1_000..2_000);
                 let at = self.now + Duration::from_secs(2);
-                let view = FreshView::Whole;
+                let view = InitialView::Complete;
                 self.push(at, FleetEvent::Restart { node, view });
             }
-            FleetFault::KillAll => self.kill_all(FreshView::Wide),
-            FleetFault::KillAllBlind => self.kill_all(FreshView::Half),
-            FleetFault::KillAllScattered => self.kill_all(FreshView::Few),
+            FleetFault::KillAll => self.kill_all(InitialView::Most),
+            FleetFault::KillAllBlind => self.kill_all(InitialView::Half),
+            FleetFault::KillAllScattered => self.kill_all(InitialView::Few),
             FleetFault::Cut(node, span) => {
                 self.nodes[node].cut_until = self.now + span;
                 if span < Duration::from_secs(2) {
                     return;
                 }
                 let id = self.nodes[node].id;
-                self.tell_others(node, false, id, 1_000..2_000);
+                self.schedule_notices(node, false, id, 1_000..2_000);
                 let healed = u64::try_from(span.as_millis()).expect("short");
-                self.tell_others(node, true, id, healed..healed + 500);
+                self.schedule_notices(node, true, id, healed..healed + 500);
                 for other in 0..self.nodes.len() {
                     if other != node {
                         let id = self.nodes[other].id;
-                        self.tell(node, other, false, id, 1_000..2_000);
-                        self.tell(node, other, true, id, healed..healed + 500);
+                        self.schedule_notice(node, other, false, id, 1_000..2_000);
+                        self.schedule_notice(node, other, true, id, healed..healed + 500);
                     }
                 }
             }
@@ -427,46 +429,46 @@
                 }
                 let id = self.nodes[node].id;
                 if span > Duration::from_secs(2) {
-                    self.tell_others(node, false, id, 1_000..2_000);
+                    self.schedule_notices(node, false, id, 1_000..2_000);
                     let woken = u64::try_from(span.as_millis()).expect("short");
-                    self.tell_others(node, true, id, woken..woken + 500);
+                    self.schedule_notices(node, true, id, woken..woken + 500);
                 }
             }
         }
     }
 
-    fn kill_all(&mut self, view: FreshView) {
+    fn kill_all(&mut self, view: InitialView) {
         for node in 0..self.nodes.len() {
             self.nodes[node].ledger = None;
-            let at = self.now + Duration::from_millis(1_000 + self.below(300));
+            let at = self.now + Duration::from_millis(1_000 + self.random_below(300));
             self.push(at, FleetEvent::Restart { node, view });
         }
     }
 
-    /// Whether a process that starts with `view` hears of another one later only.
-    fn misses_one(&mut self, view: FreshView) -> bool {
+    /// Whether a process that starts with `view` does not know a given member at first.
+    fn misses_member(&mut self, view: InitialView) -> bool {
         match view {
-            FreshView::Whole => false,
-            FreshView::Wide => self.below(7) == 0,
-            FreshView::Half => self.below(2) == 0,
-            FreshView::Few => self.below(6) != 0,
+            InitialView::Complete => false,
+            InitialView::Most => self.random_below(7) == 0,
+            InitialView::Half => self.random_below(2) == 0,
+            InitialView::Few => self.random_below(6) != 0,
         }
     }
 
-    fn tell_others(&mut self, node: usize, up: bool, id: u64, when: Range<u64>) {
+    fn schedule_notices(&mut self, node: usize, up: bool, id: u64, when: Range<u64>) {
         for other in 0..self.nodes.len() {
             if other != node {
-                self.tell(other, node, up, id, when.clone());
+                self.schedule_notice(other, node, up, id, when.clone());
             }
         }
     }
 
-    fn tell(&mut self, node: usize, other: usize, up: bool, id: u64, when: Range<u64>) {
-        let millis = when.start + self.below(when.end - when.start);
+    fn schedule_notice(&mut self, node: usize, other: usize, up: bool, id: u64, when: Range<u64>) {
+        let millis = when.start + self.random_below(when.end - when.start);
         let at = self.now + Duration::from_millis(millis);
         self.push(
             at,
-            FleetEvent::Learn {
+            FleetEvent::MemberChange {
                 node,
                 other,
                 up,
@@ -475,7 +477,7 @@
         );
     }
 
-    fn learn(&mut self, node: usize, other: usize, up: bool, id: u64) {
+    fn change_member(&mut self, node: usize, other: usize, up: bool, id: u64) {
         let member = ident::NodeId(id);
         self.step(node, |ledger, now| {
             match up {
@@ -486,27 +488,27 @@
         });
     }
 
-    fn restart(&mut self, node: usize, view: FreshView) {
-        let together = view != FreshView::Whole;
-        let id = self.mint();
-        let mut fresh = self.fresh_ledger(id);
+    fn restart(&mut self, node: usize, view: InitialView) {
+        let restarted_together = view != InitialView::Complete;
+        let id = self.next_node_id();
+        let mut ledger = self.new_ledger(id);
         for other in 0..self.nodes.len() {
             if other == node || self.nodes[other].ledger.is_none() {
                 continue;
             }
             let id = self.nodes[other].id;
-            match self.misses_one(view) {
-                true => self.tell(node, other, true, id, view.learns()),
-                false => fresh.member_up(self.now, ident::NodeId(id), address(other)),
+            match self.misses_member(view) {
+                true => self.schedule_notice(node, other, true, id, view.discovery_delay()),
+                false => ledger.member_up(self.now, ident::NodeId(id), address(other)),
             }
         }
-        fresh.member_up(self.now, ident::NodeId(id), address(node));
-        if together {
-            self.nodes[node].ready_at = self.now + Duration::from_millis(self.below(900));
+        ledger.member_up(self.now, ident::NodeId(id), address(node));
+        if restarted_together {
+            self.nodes[node].ready_at = self.now + Duration::from_millis(self.random_below(900));
         }
         self.nodes[node].id = id;
-        self.nodes[node].ledger = Some(fresh);
-        self.tell_others(node, true, id, view.learns());
+        self.nodes[node].ledger = Some(ledger);
+        self.schedule_notices(node, true, id, view.discovery_delay());
     }
 }
 
--- a/crates/anvil_quota/tests/fleet/tally.rs
+++ b/crates/anvil_quota/tests/fleet/tally.rs
@@ -1,42 +1,43 @@
-//! What came of a played fleet, and how far each account was from its quota.
+//! Results of a simulated fleet: how far each account was from its quota.
 
 use std::time::Duration;
 
 use anvil_types::{account, time};
 
-use super::PlayedFleet;
+use super::SimulatedFleet;
 
 /// The window in which requests are counted against a quota.
 const WINDOW: Duration = Duration::from_secs(5);
 
-/// What the users allow beyond a quota in a window: a share, and requests.
-const EXCESS: f64 = 0.1;
-/// See [`EXCESS`].
-const SLACK: f64 = 20.0;
+/// Excess over a quota that the users allow in a window, as a share.
+const EXCESS_SHARE: f64 = 0.1;
+/// Further excess that the users allow in a window, in requests.
+const EXCESS_REQUESTS: f64 = 20.0;
 
-/// What came of one account.
+/// Result of one account.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct AccountTally {
     /// Requests that arrived.
     pub(crate) arrived: usize,
     /// Requests refused.
     pub(crate) refused: usize,
-    /// Requests refused though one bucket for the whole fleet would have had a token.
+    /// Requests refused although a single bucket for the whole fleet would have had a token.
     pub(crate) refused_falsely: usize,
-    /// The most requests let in within a window, less what the users allow; below zero where it held.
+    /// Maximum number of requests admitted within a window, less what the users allow; not above
+    /// zero if the quota held.
     pub(crate) over: f64,
 }
 
-/// What came of a fleet.
+/// Result of a fleet.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FleetTally {
     /// By account.
     pub(crate) accounts: Vec<AccountTally>,
     /// Datagrams sent.
     pub(crate) datagrams: usize,
-    /// Bytes of them, without what authentication and addresses add.
+    /// Bytes of the datagrams, without the overhead of authentication and addresses.
     pub(crate) bytes: usize,
-    /// Waits for a home's word, in microseconds, sorted; zero where there was none.
+    /// Waits for a home's verdict, in microseconds, sorted; zero if there was no wait.
     pub(crate) waits: Vec<u64>,
 }
 
@@ -49,13 +50,13 @@
     }
 }
 
-/// The most requests of an account that the users allow within a window.
+/// Maximum number of requests of an account that the users allow within a window.
 pub(crate) fn allowed(quota: account::AccountQuota) -> f64 {
-    let owed = quota.rate() * WINDOW.as_secs_f64() + f64::from(quota.burst);
-    owed * (1.0 + EXCESS) + SLACK
+    let within_quota = quota.rate() * WINDOW.as_secs_f64() + f64::from(quota.burst);
+    within_quota * (1.0 + EXCESS_SHARE) + EXCESS_REQUESTS
 }
 
-impl PlayedFleet {
+impl SimulatedFleet {
     pub(super) fn into_tally(mut self) -> FleetTally {
         for index in 0..self.plan.accounts.len() {
             let tally = self.account_tally(index);
--- a/crates/anvil_quota/tests/neighbours.rs
+++ b/crates/anvil_quota/tests/neighbours.rs
@@ -1,4 +1,4 @@
-//! Nodes that make themselves known to the next one on the ring of accounts.
+//! Announcements of nodes to their successor on the ring of accounts.
 
 use std::net::SocketAddr;
 
@@ -24,8 +24,8 @@
     }
 }
 
-/// A node that knows no other one.
-fn alone() -> ledger::QuotaLedger {
+/// A node that knows no other node.
+fn single_node() -> ledger::QuotaLedger {
     let own = ident::NodeId(1);
     let mut ledger = ledger::QuotaLedger::new(own, ledger::TokenMode::Ahead);
     ledger.member_up(at(0), own, address(1));
@@ -34,45 +34,46 @@
     ledger
 }
 
-/// Whether any of the nodes 2 to 60 is the home of the account once `told` has told of it.
-fn is_moved<Tell>(tell: Tell) -> bool
+/// Whether one of the nodes 2 to 60 becomes the home of the account after `notify` has notified the
+/// ledger of it.
+fn is_moved<Notify>(notify: Notify) -> bool
 where
-    Tell: Fn(&mut ledger::QuotaLedger, u16),
+    Notify: Fn(&mut ledger::QuotaLedger, u16),
 {
     (2..60).any(|node| {
-        let mut ledger = alone();
-        tell(&mut ledger, node);
+        let mut ledger = single_node();
+        notify(&mut ledger, node);
         ledger.admit(at(20), ACCOUNT, 7) == effect::QuotaDecision::Pending
     })
 }
 
-// Guards against requests that wait for homes which have ended: a node that is only named may be gone, and
-// stays unasked until it has said something itself.
+// Guards against requests that wait for homes that have ended: a node that was only named may have
+// ended, and is not used as a home before it has sent a message itself.
 #[test]
 fn a_node_that_is_only_named_is_no_home() {
     let moved = is_moved(|ledger, node| {
         let between = quota::QuotaMessage::Between(named(node, false));
         let effects = ledger.on_message(at(10), ident::NodeId(99), address(99), &between);
-        let told = effects.iter().any(|effect| {
+        let announced = effects.iter().any(|effect| {
             matches!(effect, effect::QuotaEffect::Send { to, message: quota::QuotaMessage::Behind }
                 if *to == address(node))
         });
-        assert!(told, "it is told of this one");
+        assert!(announced, "this node announces itself to the named one");
     });
     assert!(!moved);
 }
 
-// Guards against two processes at one address that name each other for ever.
+// Guards against two processes at one address that name each other endlessly.
 #[test]
 fn answers_that_name_nodes_again_and_again_come_to_an_end() {
-    let mut ledger = alone();
+    let mut ledger = single_node();
     let between = quota::QuotaMessage::Between(named(2, false));
-    let told = (0..100).map(|_| {
+    let announcements = (0..100).map(|_| {
         ledger
             .on_message(at(10), ident::NodeId(99), address(99), &between)
             .len()
     });
-    assert_eq!(told.sum::<usize>(), 2);
+    assert_eq!(announcements.sum::<usize>(), 2);
 }
 
 #[test]
@@ -85,25 +86,27 @@
     assert!(moved);
 }
 
-/// A home of the account since 10 ms, which lets in `own` requests a second, and hears after two seconds that
-/// another node let in 75 a second meanwhile; tells what becomes of the next request.
+/// Decision on a request at a node that has been the home of the account since 10 ms and has
+/// admitted `own` requests a second, after a handover at two seconds reports 75 requests a second
+/// that another node admitted meanwhile.
 fn after_a_handover(own: u64) -> effect::QuotaDecision {
-    let mut ledger = alone();
-    for turn in 0..own * 2 {
-        ledger.admit(at(10 + turn * 2_000 / (own * 2)), ACCOUNT, turn);
+    let mut ledger = single_node();
+    for request in 0..own * 2 {
+        ledger.admit(at(10 + request * 2_000 / (own * 2)), ACCOUNT, request);
     }
-    let told = quota::UseHandover {
+    let uses = quota::UseHandover {
         account: ACCOUNT,
         number: 1,
         slices: vec![19; 8],
     };
     let from = ident::NodeId(99);
-    let handover = quota::QuotaMessage::Handover(told);
+    let handover = quota::QuotaMessage::Handover(uses);
     ledger.on_message(at(2_010), from, address(99), &handover);
     ledger.admit(at(2_015), ACCOUNT, 1_000)
 }
 
-// Guards against refusals of an account within its quota of 100 a second, whose requests came to two homes.
+// Guards against refusals for an account within its quota of 100 a second whose requests were
+// counted at two homes.
 #[test]
 fn a_handover_of_modest_use_costs_nothing() {
     assert_eq!(after_a_handover(20), effect::QuotaDecision::Granted);
@@ -115,19 +118,20 @@
     assert!(refused);
 }
 
-// Guards against refusals after all processes were killed, of requests that the burst would have borne: a
-// fresh home withholds most of it, for what others may have let in, and then hears what they did.
+// Guards against refusals of requests within the burst after all processes were killed: a new home
+// withholds most of the burst for requests that others may have admitted, and then receives their
+// handover.
 #[test]
 fn withheld_tokens_pay_for_a_handover() {
-    let mut ledger = alone();
+    let mut ledger = single_node();
     ledger.admit(at(10), ACCOUNT, 1);
-    let told = quota::UseHandover {
+    let uses = quota::UseHandover {
         account: ACCOUNT,
         number: 1,
         slices: vec![40],
     };
-    let handover = quota::QuotaMessage::Handover(told);
+    let handover = quota::QuotaMessage::Handover(uses);
     ledger.on_message(at(260), ident::NodeId(99), address(99), &handover);
-    let decided = ledger.admit(at(265), ACCOUNT, 2);
-    assert_eq!(decided, effect::QuotaDecision::Granted);
+    let decision = ledger.admit(at(265), ACCOUNT, 2);
+    assert_eq!(decision, effect::QuotaDecision::Granted);
 }
--- a/crates/anvil_quota/tests/sums.rs
+++ b/crates/anvil_quota/tests/sums.rs
@@ -1,4 +1,4 @@
-//! Quotas over fleets that lose messages, nodes and sight of one another.
+//! Quotas over fleets with lost messages, failed nodes and network partitions.
 
 mod fleet;
 
@@ -13,16 +13,17 @@
     Duration::from_secs(seconds)
 }
 
-fn load(rate: u32, usual: f64, surge: f64) -> AccountLoad {
+fn load(rate: u32, normal: f64, surge: f64) -> AccountLoad {
     AccountLoad {
         quota: account::AccountQuota::per_second(rate, rate),
-        usual,
+        normal,
         surge,
         nodes: 0,
     }
 }
 
-/// Accounts of unequal size; the first and the last send seven times their usual for a while.
+/// Accounts of different sizes; for a while the first and the last send seven times their normal
+/// rate.
 fn accounts() -> Vec<AccountLoad> {
     vec![
         load(240, 150.0, 1_100.0),
@@ -36,7 +37,7 @@
     FleetPlan {
         nodes,
         seed,
-        way: ledger::TokenMode::Ahead,
+        mode: ledger::TokenMode::Ahead,
         delay_micros: 3_000,
         lost_per_mille: 10,
         length: secs(20),
@@ -47,7 +48,7 @@
 }
 
 fn holds(plan: &FleetPlan) {
-    let tally = fleet::play(plan.clone());
+    let tally = fleet::simulate(plan.clone());
     for (account, tally) in tally.accounts.iter().enumerate() {
         assert!(
             tally.over <= 0.0,
@@ -59,10 +60,10 @@
 }
 
 fn kills(nodes: usize, every: u64) -> Vec<(Duration, FleetFault)> {
-    let times = (1..20_000 / every).map(|turn| Duration::from_millis(turn * every));
+    let times = (1..20_000 / every).map(|index| Duration::from_millis(index * every));
     let faults = times.enumerate();
     faults
-        .map(|(turn, at)| (at, FleetFault::Kill(turn * 7 % nodes)))
+        .map(|(index, at)| (at, FleetFault::Kill(index * 7 % nodes)))
         .collect()
 }
 
@@ -72,15 +73,15 @@
 }
 
 fn freezes(nodes: usize) -> Vec<(Duration, FleetFault)> {
-    let freeze = |turn: u64| {
-        let node = turn as usize * 5 % nodes;
-        (secs(4 + turn), FleetFault::Freeze(node, secs(4)))
+    let freeze = |index: u64| {
+        let node = index as usize * 5 % nodes;
+        (secs(4 + index), FleetFault::Freeze(node, secs(4)))
     };
     (0..8).map(freeze).collect()
 }
 
-// An account surges to seven times its usual while nodes end, freeze or lose sight of one another, in
-// any order: its requests over all nodes stay within its quota and what the users allow beyond.
+// An account surges to seven times its normal rate while nodes end, freeze or are partitioned in
+// any order. Its requests over all nodes stay within its quota and the excess that the users allow.
 fn quota_holds(nodes: usize, seeds: u64, faults: &[(Duration, FleetFault)]) {
     for seed in 0..seeds {
         holds(&plan(nodes, seed, faults.to_vec()));
@@ -111,10 +112,10 @@
     frozen_homes => (65, 10, &freezes(65)),
 }
 
-// An account that stays well within its quota is never refused for it, whoever else surges.
+// An account well within its quota is never refused because of it, whichever other account surges.
 fn modest_accounts_are_served(nodes: usize, seeds: u64) {
     for seed in 0..seeds {
-        let tally = fleet::play(plan(nodes, seed, Vec::new()));
+        let tally = fleet::simulate(plan(nodes, seed, Vec::new()));
         for account in [1, 2] {
             let tally = tally.accounts[account];
             assert_eq!(
@@ -131,12 +132,13 @@
     of_65 => (65, 10),
 }
 
-// Nearly all requests of a calm fleet are let in without waiting for another node.
+// Nearly all requests of a fleet without surges and faults are admitted without waiting for another
+// node.
 #[test]
 fn tokens_are_at_hand() {
     let mut calm = plan(14, 1, Vec::new());
     calm.surge = (Duration::ZERO, Duration::ZERO);
     calm.length = secs(120);
-    let tally = fleet::play(calm);
+    let tally = fleet::simulate(calm);
     assert_eq!(tally.wait(0.95), 0);
 }
--- a/crates/anvil_quota/tests/waiting.rs
+++ b/crates/anvil_quota/tests/waiting.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for the word of a home that goes away.
+//! Requests that wait for the verdict of a home that becomes unavailable.
 
 use std::net::SocketAddr;
 
@@ -11,8 +11,8 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-/// A node and another one that is the home of [`ACCOUNT`].
-fn beside_its_home() -> (ledger::QuotaLedger, ident::NodeId) {
+/// The ledger of a node, and another node that is the home of [`ACCOUNT`].
+fn ledger_and_home() -> (ledger::QuotaLedger, ident::NodeId) {
     let nodes = (1..100).map(ident::NodeId);
     for home in nodes.skip(1) {
         let own = ident::NodeId(1);
@@ -29,7 +29,7 @@
     unreachable!("some node is the home");
 }
 
-/// Wakes the ledger whenever it asks, for two seconds, and collects what it does.
+/// Runs the ledger's timers for two seconds and collects its effects.
 fn run(ledger: &mut ledger::QuotaLedger) -> Vec<effect::QuotaEffect> {
     let mut now = time::NodeTime::from_millis(1);
     let mut effects = ledger.flush(now);
@@ -42,20 +42,20 @@
     effects
 }
 
-// A caller waits until its deadline and is told 503: the home that was asked left, this node became the
-// home, and nobody decided what waited.
+// Guards against callers that wait until their deadline and get a 503: the home that was queried
+// has left, this node has become the home, and the waiting requests were never decided.
 #[test]
-fn what_waited_for_a_home_that_left_is_decided() {
-    let (mut ledger, home) = beside_its_home();
+fn requests_waiting_for_a_departed_home_are_decided() {
+    let (mut ledger, home) = ledger_and_home();
     assert!(!ledger.flush(time::NodeTime::from_millis(1)).is_empty());
     ledger.member_removed(time::NodeTime::from_millis(2), home, false);
     let expected = [effect::QuotaEffect::Grant { call: 7 }];
     assert_eq!(run(&mut ledger), expected);
 }
 
-// The home answers nothing: the node stands in for it, by its own part.
+// The home does not answer, so the node decides by its own share.
 #[test]
-fn what_waits_for_a_silent_home_is_decided() {
-    let (mut ledger, _) = beside_its_home();
+fn requests_waiting_for_a_silent_home_are_decided() {
+    let (mut ledger, _) = ledger_and_home();
     assert_eq!(run(&mut ledger).len(), 1);
 }
