--- a/crates/anvil_overload/src/admission.rs
+++ b/crates/anvil_overload/src/admission.rs
@@ -152,10 +152,10 @@
         id: u64,
         sample: limit::RunSample,
     ) -> Vec<AdmissionDecision> {
-        let Ok(place) = self.running.binary_search_by_key(&id, |run| run.id) else {
+        let Ok(index) = self.running.binary_search_by_key(&id, |run| run.id) else {
             return Vec::new();
         };
-        self.running.remove(place);
+        self.running.remove(index);
         if sample.end == limit::RunEnd::Completed || sample.end == limit::RunEnd::TimedOut {
             self.estimate.observe(sample.latency);
         }
@@ -237,8 +237,8 @@
     /// Expected wait behind the requests that are served earlier.
     fn expected_wait(&self, rank: &rank::CallRank) -> Duration {
         let ahead = if self.policy.ranked_queue {
-            let place = self.queue.partition_point(|other| other.call.rank < *rank);
-            self.queue.len() - place
+            let index = self.queue.partition_point(|other| other.call.rank < *rank);
+            self.queue.len() - index
         } else {
             self.queue.len()
         };
@@ -247,7 +247,7 @@
     }
 
     fn insert(&mut self, now: time::NodeTime, call: WaitingCall) {
-        let place = if self.policy.ranked_queue {
+        let index = if self.policy.ranked_queue {
             self.queue
                 .partition_point(|other| other.call.rank <= call.rank)
         } else {
@@ -258,7 +258,7 @@
         } else {
             call.deadline
         };
-        self.queue.insert(place, QueuedCall { call, expiry });
+        self.queue.insert(index, QueuedCall { call, expiry });
     }
 
     /// Refuses the requests of the lowest rank while the queue exceeds its capacity.
@@ -276,6 +276,7 @@
         }
     }
 
+    /// Refuses expired requests and starts waiting ones while slots are free.
     fn start_waiting(
         &mut self,
         now: time::NodeTime,
@@ -283,10 +284,10 @@
     ) -> Vec<AdmissionDecision> {
         self.drop_expired(now, &mut decisions);
         while self.free_slot() {
-            let Some(place) = self.next_place() else {
+            let Some(index) = self.next_index() else {
                 break;
             };
-            let next = self.queue.remove(place).call;
+            let next = self.queue.remove(index).call;
             if self.misses_deadline(now, &next) {
                 self.cut.count_overflow(&next.rank);
                 decisions.push(refuse(
@@ -341,7 +342,7 @@
     /// Index of the request to run next: the one with the highest rank. Among equal ranks it is the
     /// newest under pressure, because its caller is the most likely to be still waiting, and
     /// otherwise the oldest.
-    fn next_place(&self) -> Option<usize> {
+    fn next_index(&self) -> Option<usize> {
         let isolated = self.running.iter().any(|run| run.suspect);
         let may_run = |queued: &QueuedCall| !(isolated && queued.call.suspect);
         let last = self.queue.iter().rposition(may_run)?;
@@ -359,8 +360,8 @@
             id: call.id,
             suspect: call.suspect,
         };
-        let place = self.running.partition_point(|other| other.id < run.id);
-        self.running.insert(place, run);
+        let index = self.running.partition_point(|other| other.id < run.id);
+        self.running.insert(index, run);
         self.limit.run_started(count(self.running.len()));
     }
 
@@ -368,6 +369,7 @@
         self.running.len() < self.limit.current() as usize
     }
 
+    /// Counts a refusal that indicates pressure.
     fn count_queue_refusal(&mut self, rank: &rank::CallRank, reason: verdict::RefusalReason) {
         if reason == verdict::RefusalReason::QueueFull || reason == verdict::RefusalReason::Deadline
         {
@@ -391,6 +393,7 @@
         self.queue.iter().filter(admitted).count()
     }
 
+    /// Passes the current state of the queue on to the cut line.
     fn update_cut(&mut self, now: time::NodeTime) {
         let view = shedding::QueueSnapshot {
             service_time: self.estimate.mean(),
--- a/crates/anvil_overload/src/allowance.rs
+++ b/crates/anvil_overload/src/allowance.rs
@@ -63,10 +63,10 @@
     /// Returns the unspent part of the loan of call `id`. Repeated and late answers have no effect,
     /// and a call that reports more than its loan is charged only the loan.
     pub fn settle(&mut self, id: u64, spent: u16) {
-        let Ok(place) = self.loans.binary_search_by_key(&id, |loan| loan.id) else {
+        let Ok(index) = self.loans.binary_search_by_key(&id, |loan| loan.id) else {
             return;
         };
-        let loan = self.loans.remove(place);
+        let loan = self.loans.remove(index);
         let spent = spent.min(loan.amount);
         self.spent += spent;
         self.pool += loan.amount - spent;
@@ -87,9 +87,9 @@
         match self.loans.binary_search_by_key(&id, |loan| loan.id) {
             // Two loans with the same id could not be told apart when they are settled.
             Ok(_) => 0,
-            Err(place) => {
+            Err(index) => {
                 self.pool -= amount;
-                self.loans.insert(place, RetryLoan { id, amount });
+                self.loans.insert(index, RetryLoan { id, amount });
                 amount
             }
         }
--- a/crates/anvil_overload/src/backoff.rs
+++ b/crates/anvil_overload/src/backoff.rs
@@ -16,8 +16,8 @@
     Source: Rng,
 {
     let doublings = u32::from(retry.saturating_sub(1)).min(DOUBLINGS);
-    let whole = first.saturating_mul(1 << doublings);
-    let micros = u64::try_from(whole.as_micros()).unwrap_or(u64::MAX / 2);
+    let full_pause = first.saturating_mul(1 << doublings);
+    let micros = u64::try_from(full_pause.as_micros()).unwrap_or(u64::MAX / 2);
     let jitter = source.next_u64() % (micros / 2 + 1);
     Duration::from_micros(micros / 2 + jitter)
 }
--- a/crates/anvil_overload/src/cut.rs
+++ b/crates/anvil_overload/src/cut.rs
@@ -110,14 +110,14 @@
         kind: kind::CallKind,
         line: Option<&call::CutLine>,
     ) {
-        match self.place(kind) {
-            Ok(place) => self.kinds[place].1.update(now, line),
+        match self.search(kind) {
+            Ok(index) => self.kinds[index].1.update(now, line),
             // A kind without a line needs no entry.
             Err(_) if line.is_none() => {}
-            Err(place) => {
+            Err(index) => {
                 let mut cut = DecayingCut::default();
                 cut.update(now, line);
-                self.kinds.insert(place, (kind, cut));
+                self.kinds.insert(index, (kind, cut));
                 self.evict_oldest();
             }
         }
@@ -125,18 +125,18 @@
 
     /// Records that a request of `kind` is checked against its line.
     pub fn note_request(&mut self, now: time::NodeTime, kind: kind::CallKind) {
-        if let Ok(place) = self.place(kind) {
-            self.kinds[place].1.note_request(now);
+        if let Ok(index) = self.search(kind) {
+            self.kinds[index].1.note_request(now);
         }
     }
 
     /// The lowest level that downstream services admit for requests of `kind`.
     pub fn level(&self, now: time::NodeTime, kind: kind::CallKind) -> u16 {
-        let place = self.place(kind);
-        place.map_or(0, |place| self.kinds[place].1.level(now))
+        let index = self.search(kind);
+        index.map_or(0, |index| self.kinds[index].1.level(now))
     }
 
-    fn place(&self, kind: kind::CallKind) -> Result<usize, usize> {
+    fn search(&self, kind: kind::CallKind) -> Result<usize, usize> {
         self.kinds.binary_search_by_key(&kind, |(known, _)| *known)
     }
 
@@ -144,9 +144,9 @@
         if self.kinds.len() <= MAX_KINDS {
             return;
         }
-        let oldest = (0..self.kinds.len()).min_by_key(|place| self.kinds[*place].1.at);
-        if let Some(place) = oldest {
-            self.kinds.remove(place);
+        let oldest = (0..self.kinds.len()).min_by_key(|index| self.kinds[*index].1.at);
+        if let Some(index) = oldest {
+            self.kinds.remove(index);
         }
     }
 }
--- a/crates/anvil_overload/src/dependency.rs
+++ b/crates/anvil_overload/src/dependency.rs
@@ -62,13 +62,13 @@
     }
 
     fn add(&mut self, run: kind::CallKind, call: &NeededCall) {
-        if self.place(run, call).is_ok() {
+        if self.search(run, call).is_ok() {
             return;
         }
         if self.shares.len() == MAX_CALLS {
             self.evict_rarest();
         }
-        let Err(place) = self.place(run, call) else {
+        let Err(index) = self.search(run, call) else {
             return;
         };
         let share = CallShare {
@@ -76,10 +76,10 @@
             call: call.clone(),
             share: NEEDED_SHARE,
         };
-        self.shares.insert(place, share);
+        self.shares.insert(index, share);
     }
 
-    fn place(&self, run: kind::CallKind, call: &NeededCall) -> Result<usize, usize> {
+    fn search(&self, run: kind::CallKind, call: &NeededCall) -> Result<usize, usize> {
         self.shares
             .binary_search_by(|known| (known.run, &known.call).cmp(&(run, call)))
     }
@@ -87,8 +87,8 @@
     fn evict_rarest(&mut self) {
         let rarest = (0..self.shares.len())
             .min_by(|&a, &b| self.shares[a].share.total_cmp(&self.shares[b].share));
-        if let Some(place) = rarest {
-            self.shares.remove(place);
+        if let Some(index) = rarest {
+            self.shares.remove(index);
         }
     }
 }
--- a/crates/anvil_overload/src/limit.rs
+++ b/crates/anvil_overload/src/limit.rs
@@ -14,7 +14,7 @@
 ///
 /// Some targets slow down when they are nearly full: the last slot makes every run longer, so under
 /// overload the target completes fewer requests. Using 19 slots in 20 stays below that point, and a
-/// target that does not behave so loses a twentieth at most.
+/// target that does not behave this way loses a twentieth at most.
 const SPARE_DIVISOR: u32 = 20;
 
 /// Bounds of the number of samples that a window needs. Within them it is two for each concurrent
--- a/crates/anvil_overload/src/quarantine.rs
+++ b/crates/anvil_overload/src/quarantine.rs
@@ -186,8 +186,8 @@
     /// Records a run that starts at the local target.
     pub fn run_started(&mut self, run: u64, print: ident::PrintHash, rule: CrashRule) {
         let entry = RunningPrint { run, print, rule };
-        let place = self.running.partition_point(|known| known.run < run);
-        self.running.insert(place, entry);
+        let index = self.running.partition_point(|known| known.run < run);
+        self.running.insert(index, entry);
     }
 
     /// Records a run that ended without breaking; a complete answer takes back one strike.
@@ -197,22 +197,22 @@
         &mut self,
         now: time::NodeTime,
         run: u64,
-        whole: bool,
+        completed: bool,
         service: &name::ServiceName,
     ) -> Option<suspicion::SuspicionNotice> {
         let entry = self.take(run)?;
-        if whole {
+        if completed {
             self.answered(now, entry.print);
         }
         let group = self.group.as_mut()?;
-        let place = group.waiting.binary_search(&run).ok()?;
-        if whole {
+        let index = group.waiting.binary_search(&run).ok()?;
+        if completed {
             // A target that still answers has not crashed. If a single broken connection made all
             // running requests suspects, a busy target would run them one by one.
             self.group = None;
             return None;
         }
-        group.waiting.remove(place);
+        group.waiting.remove(index);
         self.conclude(now, service)
     }
 
@@ -243,8 +243,8 @@
             waiting: running.iter().map(|known| known.run).collect(),
         });
         group.broken.push(entry);
-        if let Ok(place) = group.waiting.binary_search(&run) {
-            group.waiting.remove(place);
+        if let Ok(index) = group.waiting.binary_search(&run) {
+            group.waiting.remove(index);
         }
         self.conclude(now, service)
     }
@@ -307,10 +307,10 @@
     }
 
     fn clear(&mut self, print: ident::PrintHash) {
-        let Ok(place) = self.place(print) else {
+        let Ok(index) = self.search(print) else {
             return;
         };
-        let suspect = &mut self.suspects[place];
+        let suspect = &mut self.suspects[index];
         // A request that crashes its targets is never answered, so an answer clears a quarantined
         // request completely. With only one strike less it would be refused again as soon as the
         // answer is forgotten.
@@ -319,7 +319,7 @@
             false => suspect.strikes - 1,
         };
         if suspect.strikes == 0 {
-            self.suspects.remove(place);
+            self.suspects.remove(index);
         }
     }
 
@@ -386,9 +386,9 @@
             limit: strike.crash_limit,
             quarantine: Duration::from_secs(u64::from(strike.quarantine_seconds)),
         };
-        match self.place(strike.print) {
-            Ok(place) => {
-                let suspect = &mut self.suspects[place];
+        match self.search(strike.print) {
+            Ok(index) => {
+                let suspect = &mut self.suspects[index];
                 let stale = suspect.left(now).is_zero();
                 if suspect.crash == crash && !stale {
                     return;
@@ -416,32 +416,32 @@
 
     fn add(&mut self, suspect: SuspectPrint) {
         if self.suspects.len() == MAX_SUSPECTS {
-            let oldest = |place: &usize| {
-                let known = &self.suspects[*place];
+            let oldest = |index: &usize| {
+                let known = &self.suspects[*index];
                 (known.exceeds_limit(), known.struck)
             };
-            if let Some(place) = (0..MAX_SUSPECTS).min_by_key(oldest) {
-                self.suspects.remove(place);
+            if let Some(index) = (0..MAX_SUSPECTS).min_by_key(oldest) {
+                self.suspects.remove(index);
             }
         }
-        let place = self
+        let index = self
             .suspects
             .partition_point(|known| known.print < suspect.print);
-        self.suspects.insert(place, suspect);
+        self.suspects.insert(index, suspect);
     }
 
     fn take(&mut self, run: u64) -> Option<RunningPrint> {
-        let place = self.running.binary_search_by_key(&run, |known| known.run);
-        Some(self.running.remove(place.ok()?))
+        let index = self.running.binary_search_by_key(&run, |known| known.run);
+        Some(self.running.remove(index.ok()?))
     }
 
-    fn place(&self, print: ident::PrintHash) -> Result<usize, usize> {
+    fn search(&self, print: ident::PrintHash) -> Result<usize, usize> {
         self.suspects
             .binary_search_by_key(&print, |known| known.print)
     }
 
     fn find(&self, print: ident::PrintHash) -> Option<&SuspectPrint> {
-        self.place(print).ok().map(|place| &self.suspects[place])
+        self.search(print).ok().map(|index| &self.suspects[index])
     }
 }
 
--- a/crates/anvil_overload/src/ratio.rs
+++ b/crates/anvil_overload/src/ratio.rs
@@ -286,15 +286,15 @@
         service: &name::ServiceName,
         limits: RatioLimits,
     ) -> &mut RetryBudget {
-        let place = self
+        let index = self
             .budgets
             .binary_search_by(|(known, _)| known.cmp(service));
-        let place = place.unwrap_or_else(|place| {
+        let index = index.unwrap_or_else(|index| {
             let budget = RetryBudget::with_limits(now, limits);
-            self.budgets.insert(place, (service.clone(), budget));
-            place
+            self.budgets.insert(index, (service.clone(), budget));
+            index
         });
-        let budget = &mut self.budgets[place].1;
+        let budget = &mut self.budgets[index].1;
         budget.limits = limits;
         budget
     }
--- a/crates/anvil_overload/src/resend.rs
+++ b/crates/anvil_overload/src/resend.rs
@@ -104,16 +104,16 @@
             running: true,
             touched: now,
         };
-        let place = self.young.partition_point(|known| known.request < request);
-        self.young.insert(place, entry);
+        let index = self.young.partition_point(|known| known.request < request);
+        self.young.insert(index, entry);
     }
 
     fn find(&mut self, request: ident::RequestId) -> Option<&mut RootEntry> {
         let key = |known: &RootEntry| known.request;
-        if let Ok(place) = self.young.binary_search_by_key(&request, key) {
-            return self.young.get_mut(place);
+        if let Ok(index) = self.young.binary_search_by_key(&request, key) {
+            return self.young.get_mut(index);
         }
-        let place = self.old.binary_search_by_key(&request, key);
-        self.old.get_mut(place.ok()?)
+        let index = self.old.binary_search_by_key(&request, key);
+        self.old.get_mut(index.ok()?)
     }
 }
--- a/crates/anvil_overload/src/routing.rs
+++ b/crates/anvil_overload/src/routing.rs
@@ -144,11 +144,11 @@
     ) {
         let is_same_zone = record.zone == self.zone;
         let routes = self.routes_or_insert(service);
-        match routes.place(record.node) {
-            Ok(place) => routes.targets[place].update(record, is_same_zone),
-            Err(place) => {
+        match routes.search(record.node) {
+            Ok(index) => routes.targets[index].update(record, is_same_zone),
+            Err(index) => {
                 let target = target::TargetRoute::new(now, record, is_same_zone);
-                routes.targets.insert(place, target);
+                routes.targets.insert(index, target);
             }
         }
     }
@@ -158,18 +158,18 @@
         let Some(routes) = self.routes_mut(service) else {
             return;
         };
-        if let Ok(place) = routes.place(node) {
-            routes.targets.remove(place);
+        if let Ok(index) = routes.search(node) {
+            routes.targets.remove(index);
         }
     }
 
     /// Chooses a target; [`Self::request_sent`] must be called when the request is sent.
     pub fn choose(&mut self, now: time::NodeTime, query: RouteQuery<'_>) -> RouteChoice {
         let policy = self.policy;
-        let Ok(place) = self.find(query.service) else {
+        let Ok(index) = self.find(query.service) else {
             return RouteChoice::UnknownService;
         };
-        self.services[place].choose(now, &query, policy, &mut self.source)
+        self.services[index].choose(now, &query, policy, &mut self.source)
     }
 
     /// Counts a request of `class` that was sent to `node`.
@@ -196,10 +196,10 @@
         let Some(routes) = self.routes_mut(service) else {
             return;
         };
-        let Ok(place) = routes.place(node) else {
+        let Ok(index) = routes.search(node) else {
             return;
         };
-        routes.targets[place].attempt_ended(now, attempt);
+        routes.targets[index].attempt_ended(now, attempt);
         if let Some(bytes) = attempt.answer_bytes {
             routes.sizes.update(attempt.kind, bytes);
         }
@@ -210,7 +210,7 @@
             routes.deep.update(now, attempt.kind, load.deep.as_ref());
         }
         if policy.ejection {
-            health::update_ejection(now, &mut routes.targets, place);
+            health::update_ejection(now, &mut routes.targets, index);
         }
     }
 
@@ -222,8 +222,8 @@
         service: &name::ServiceName,
         kind: kind::CallKind,
     ) -> Option<call::CutLine> {
-        let place = self.find(service).ok()?;
-        rank::line_for_level(self.services[place].line_level(now, kind, &[]))
+        let index = self.find(service).ok()?;
+        rank::line_for_level(self.services[index].line_level(now, kind, &[]))
     }
 
     /// The nodes beside the targets of `service`, with their addresses.
@@ -231,8 +231,8 @@
         &'a self,
         service: &name::ServiceName,
     ) -> impl Iterator<Item = (ident::NodeId, SocketAddr)> + use<'a> {
-        let place = self.find(service).ok();
-        let targets = place.map_or(&[][..], |place| &self.services[place].targets[..]);
+        let index = self.find(service).ok();
+        let targets = index.map_or(&[][..], |index| &self.services[index].targets[..]);
         targets.iter().map(|target| (target.node, target.address))
     }
 
@@ -242,20 +242,20 @@
     }
 
     fn routes_mut(&mut self, service: &name::ServiceName) -> Option<&mut choice::ServiceRoutes> {
-        let place = self.find(service).ok()?;
-        self.services.get_mut(place)
+        let index = self.find(service).ok()?;
+        self.services.get_mut(index)
     }
 
     fn routes_or_insert(&mut self, service: &name::ServiceName) -> &mut choice::ServiceRoutes {
-        let place = match self.find(service) {
-            Ok(place) => place,
-            Err(place) => {
+        let index = match self.find(service) {
+            Ok(index) => index,
+            Err(index) => {
                 let routes = choice::ServiceRoutes::new(service);
-                self.services.insert(place, routes);
-                place
+                self.services.insert(index, routes);
+                index
             }
         };
-        &mut self.services[place]
+        &mut self.services[index]
     }
 
     fn target_mut(
@@ -264,7 +264,7 @@
         node: ident::NodeId,
     ) -> Option<&mut target::TargetRoute> {
         let routes = self.routes_mut(service)?;
-        let place = routes.place(node).ok()?;
-        routes.targets.get_mut(place)
+        let index = routes.search(node).ok()?;
+        routes.targets.get_mut(index)
     }
 }
--- a/crates/anvil_overload/src/routing/choice.rs
+++ b/crates/anvil_overload/src/routing/choice.rs
@@ -34,15 +34,15 @@
 }
 
 impl PairDraw {
-    fn offer(&mut self, place: usize, source: &mut Pcg32) {
+    fn offer(&mut self, index: usize, source: &mut Pcg32) {
         self.seen += 1;
         if self.seen <= 2 {
-            self.picked[self.seen as usize - 1] = Some(place);
+            self.picked[self.seen as usize - 1] = Some(index);
             return;
         }
         let draw = source.next_u32() % self.seen;
         if let Some(picked) = self.picked.get_mut(draw as usize) {
-            *picked = Some(place);
+            *picked = Some(index);
         }
     }
 }
@@ -89,12 +89,12 @@
         // would answer none. Ejected targets are therefore used as a last resort.
         let picked = picked.or_else(|| self.pick(now, query, policy, true, source));
         match picked {
-            Some(place) => self.targets[place].choice(),
+            Some(index) => self.targets[index].choice(),
             None => self.no_route(now, query),
         }
     }
 
-    pub(super) fn place(&self, node: ident::NodeId) -> Result<usize, usize> {
+    pub(super) fn search(&self, node: ident::NodeId) -> Result<usize, usize> {
         self.targets
             .binary_search_by_key(&node, |target| target.node)
     }
@@ -114,7 +114,7 @@
         }
         let mut preferred = PairDraw::default();
         let mut other_zone = PairDraw::default();
-        for (place, target) in self.targets.iter().enumerate() {
+        for (index, target) in self.targets.iter().enumerate() {
             let eligible = target.is_available(now, query.exclude)
                 && (allow_ejected || !target.ejected(now))
                 && (!policy.early_refusal || target.admits(now, &query.rank));
@@ -122,9 +122,9 @@
                 continue;
             }
             if target.same_zone || !policy.zone_preference {
-                preferred.offer(place, source);
+                preferred.offer(index, source);
             } else {
-                other_zone.offer(place, source);
+                other_zone.offer(index, source);
             }
         }
         // With two targets of the same zone drawn, one of another zone is enough to notice that the
@@ -137,8 +137,8 @@
         };
         let drawn = preferred_pair.iter().chain(candidates).copied();
         let bytes = query.bytes.saturating_add(self.sizes.expected(query.kind));
-        let cost = |place: &usize| {
-            let target = &self.targets[*place];
+        let cost = |index: &usize| {
+            let target = &self.targets[*index];
             target.cost(now, query.rank.class, bytes, policy)
         };
         drawn.flatten().min_by(|a, b| cost(a).total_cmp(&cost(b)))
@@ -152,13 +152,13 @@
     ) -> routing::RouteChoice {
         let count = self.targets.len();
         for step in 1..=count {
-            let place = (self.turn + step) % count;
-            let target = &self.targets[place];
+            let index = (self.turn + step) % count;
+            let target = &self.targets[index];
             let eligible = target.is_available(now, query.exclude)
                 && !target.ejected(now)
                 && (!policy.early_refusal || target.admits(now, &query.rank));
             if eligible {
-                self.turn = place;
+                self.turn = index;
                 return target.choice();
             }
         }
--- a/crates/anvil_overload/src/routing/health.rs
+++ b/crates/anvil_overload/src/routing/health.rs
@@ -35,23 +35,23 @@
 /// Largest share of the targets of a service that is ejected at the same time.
 pub const MAX_EJECTED_SHARE: f64 = 0.5;
 
-/// Ejects the target at `place` if it fails more than its peers.
+/// Ejects the target at `index` if it fails more than its peers.
 ///
 /// A network fault at this node makes every target look dead. Without a floor all targets would be
 /// ejected and the service would become unavailable; the floor keeps at least half of them.
 pub(super) fn update_ejection(
     now: time::NodeTime,
     targets: &mut [target::TargetRoute],
-    place: usize,
+    index: usize,
 ) {
-    let target = &targets[place];
+    let target = &targets[index];
     if target.ejected(now) {
         return;
     }
     let lost = target.consecutive_failures >= MAX_CONSECUTIVE_FAILURES;
-    if !lost && !is_outlier(targets, place) {
+    if !lost && !is_outlier(targets, index) {
         if target.consecutive_failures == 0 && target.failure_rate < OUTLIER_RATE / 4.0 {
-            targets[place].ejections = 0;
+            targets[index].ejections = 0;
         }
         return;
     }
@@ -59,11 +59,11 @@
     if !floor_allows(ejected + 1, targets.len()) {
         return;
     }
-    eject(now, &mut targets[place]);
+    eject(now, &mut targets[index]);
 }
 
-fn is_outlier(targets: &[target::TargetRoute], place: usize) -> bool {
-    let rate = targets[place].failure_rate;
+fn is_outlier(targets: &[target::TargetRoute], index: usize) -> bool {
+    let rate = targets[index].failure_rate;
     if rate < OUTLIER_RATE || targets.len() < 2 {
         return false;
     }
--- a/crates/anvil_overload/src/routing/sizes.rs
+++ b/crates/anvil_overload/src/routing/sizes.rs
@@ -37,15 +37,15 @@
     pub(super) fn update(&mut self, kind: kind::CallKind, bytes: u32) {
         self.updates += 1;
         let updated = self.updates;
-        match self.place(kind) {
-            Ok(place) => {
-                let known = &mut self.kinds[place];
+        match self.search(kind) {
+            Ok(index) => {
+                let known = &mut self.kinds[index];
                 known.bytes = known.bytes - known.bytes / MEAN_DIVISOR + bytes / MEAN_DIVISOR;
                 known.updated = updated;
             }
-            Err(place) => {
+            Err(index) => {
                 self.kinds.insert(
-                    place,
+                    index,
                     KindSize {
                         kind,
                         bytes,
@@ -59,11 +59,11 @@
 
     /// Expected size in bytes of the answer to a request of `kind`.
     pub(super) fn expected(&self, kind: kind::CallKind) -> u32 {
-        let place = self.place(kind);
-        place.map_or(DEFAULT_BYTES, |place| self.kinds[place].bytes)
+        let index = self.search(kind);
+        index.map_or(DEFAULT_BYTES, |index| self.kinds[index].bytes)
     }
 
-    fn place(&self, kind: kind::CallKind) -> Result<usize, usize> {
+    fn search(&self, kind: kind::CallKind) -> Result<usize, usize> {
         self.kinds.binary_search_by_key(&kind, |known| known.kind)
     }
 
@@ -71,9 +71,9 @@
         if self.kinds.len() <= MAX_KINDS {
             return;
         }
-        let oldest = (0..self.kinds.len()).min_by_key(|place| self.kinds[*place].updated);
-        if let Some(place) = oldest {
-            self.kinds.remove(place);
+        let oldest = (0..self.kinds.len()).min_by_key(|index| self.kinds[*index].updated);
+        if let Some(index) = oldest {
+            self.kinds.remove(index);
         }
     }
 }
--- a/crates/anvil_overload/tests/allowance.rs
+++ b/crates/anvil_overload/tests/allowance.rs
@@ -67,8 +67,8 @@
             }
         }
         while !open.is_empty() {
-            let place = self.rng.next_u32() as usize % open.len();
-            let (child, lent) = open.swap_remove(place);
+            let index = self.rng.next_u32() as usize % open.len();
+            let (child, lent) = open.swap_remove(index);
             let spent = self.call(depth + 1, lent);
             if self.percent(90) {
                 pool.settle(child, spent);
--- a/crates/anvil_overload/tests/ratio.rs
+++ b/crates/anvil_overload/tests/ratio.rs
@@ -76,15 +76,15 @@
 fn pauses_grow_and_differ() {
     let mut source = rand_pcg::Pcg32::seed_from_u64(3);
     let first = Duration::from_millis(20);
-    for (retry, whole) in [(1, 20), (2, 40), (5, 320), (7, 1_280), (60_000, 1_280)] {
-        let whole = Duration::from_millis(whole);
+    for (retry, max_pause) in [(1, 20), (2, 40), (5, 320), (7, 1_280), (60_000, 1_280)] {
+        let max_pause = Duration::from_millis(max_pause);
         let mut pauses: Vec<Duration> = (0..100)
             .map(|_| backoff::pause(first, retry, &mut source))
             .collect();
         assert!(
             pauses
                 .iter()
-                .all(|pause| *pause >= whole / 2 && *pause <= whole)
+                .all(|pause| *pause >= max_pause / 2 && *pause <= max_pause)
         );
         pauses.sort();
         pauses.dedup();
@@ -199,11 +199,11 @@
         for (second, rate) in rates.iter().enumerate() {
             for request in 0..*rate {
                 let millis = second as u64 * 1_000 + request * 1_000 / rate;
-                let place = millis as usize / (1_000 / slices_per_second);
+                let index = millis as usize / (1_000 / slices_per_second);
                 budget.count_first_attempt(at(millis), 17);
-                requests[place] += 1;
+                requests[index] += 1;
                 while budget.spend(at(millis), &top_rank()) {
-                    repeats[place] += 1;
+                    repeats[index] += 1;
                 }
             }
         }
--- a/crates/anvil_overload/tests/routing.rs
+++ b/crates/anvil_overload/tests/routing.rs
@@ -109,16 +109,16 @@
         };
         table.request_sent(&service(), ident::NodeId(node), NORMAL);
         match sent.binary_search_by_key(&node, |(known, _)| *known) {
-            Ok(place) => sent[place].1 += 1,
-            Err(place) => sent.insert(place, (node, 1)),
+            Ok(index) => sent[index].1 += 1,
+            Err(index) => sent.insert(index, (node, 1)),
         }
     }
     sent
 }
 
 fn count_of(sent: &[(u64, u32)], node: u64) -> u32 {
-    let place = sent.binary_search_by_key(&node, |(known, _)| *known);
-    place.map_or(0, |place| sent[place].1)
+    let index = sent.binary_search_by_key(&node, |(known, _)| *known);
+    index.map_or(0, |index| sent[index].1)
 }
 
 // Two targets have forty slots and two have eight. Routing in turn gives the small ones as many
--- a/crates/anvil_quota/examples/quota_ways.rs
+++ b/crates/anvil_quota/examples/quota_ways.rs
@@ -143,9 +143,9 @@
             }
         }
     }
-    for (place, end) in admitted.iter().enumerate() {
+    for (position, end) in admitted.iter().enumerate() {
         let first = admitted.partition_point(|at| at + 5_000 <= *end);
-        row.over = row.over.max((place + 1 - first) as f64 - allowed);
+        row.over = row.over.max((position + 1 - first) as f64 - allowed);
     }
 }
 
--- a/crates/anvil_quota/src/entry.rs
+++ b/crates/anvil_quota/src/entry.rs
@@ -37,20 +37,26 @@
     session: u32,
     /// Term of the home's count in this session; zero before its first verdict.
     term: u32,
+    /// Requests admitted ahead of the count in this session, minus tokens given back; wraps.
     spent: i32,
+    /// The part of `spent` that the home has counted.
     acknowledged: i32,
+    /// Verdicts requested in this session, and those of them that were granted.
     requested: u32,
     granted: u32,
     ahead: u16,
     waiting: VecDeque<WaitingCall>,
+    /// When the last report is sent again if no answer arrives.
     resend_at: Option<time::NodeTime>,
     sends: u8,
+    /// Whether there is something to report.
     unsent: bool,
     /// Whether the home stands in for others that did not answer.
     stands_in: bool,
     /// Whether the home was queried again although it named another node.
     queries_again: bool,
     recent: meter::EventMeter,
+    /// Bucket used while no home answers.
     standalone: Option<bucket::TokenBucket>,
 }
 
--- a/crates/anvil_quota/src/recent.rs
+++ b/crates/anvil_quota/src/recent.rs
@@ -75,9 +75,9 @@
 /// Number of requests in `slices`, the newest first, that are at most `age` old; the oldest slice
 /// counts in part.
 pub fn uses_within(slices: &[i32], age: Duration) -> f64 {
-    let whole = age.as_secs_f64() / SLICE.as_secs_f64();
+    let age_in_slices = age.as_secs_f64() / SLICE.as_secs_f64();
     let parts = slices.iter().enumerate();
     parts
-        .map(|(place, uses)| f64::from(*uses) * (whole - place as f64).clamp(0.0, 1.0))
+        .map(|(index, uses)| f64::from(*uses) * (age_in_slices - index as f64).clamp(0.0, 1.0))
         .sum()
 }
--- a/crates/anvil_quota/src/ring.rs
+++ b/crates/anvil_quota/src/ring.rs
@@ -12,7 +12,7 @@
 
 /// Time for which a crashed member counts towards the share of the quota that the other side of a
 /// network partition may use.
-const LOST_TTL: Duration = Duration::from_secs(60);
+const CRASHED_TTL: Duration = Duration::from_secs(60);
 
 /// Time for which a node that another node named is retained without confirmation by membership.
 const HINT_TTL: Duration = Duration::from_secs(10);
@@ -54,7 +54,7 @@
 
 /// A member that crashed, and that may still be alive on the other side of a partition.
 #[derive(Clone, Copy, Debug)]
-struct LostNode {
+struct CrashedNode {
     address: SocketAddr,
     since: time::NodeTime,
 }
@@ -65,18 +65,18 @@
     /// Sorted by point.
     nodes: Vec<RingNode>,
     /// Sorted by address.
-    lost: Vec<LostNode>,
+    crashed: Vec<CrashedNode>,
 }
 
 impl QuotaRing {
     /// Adds a member, or updates its address.
     pub fn insert(&mut self, node: ident::NodeId, address: SocketAddr) {
         let added = RingNode::new(node, address, None);
-        match self.place(added.key()) {
-            Ok(place) => self.nodes[place] = added,
-            Err(place) => self.nodes.insert(place, added),
+        match self.search(added.key()) {
+            Ok(index) => self.nodes[index] = added,
+            Err(index) => self.nodes.insert(index, added),
         }
-        self.lost.retain(|lost| lost.address != address);
+        self.crashed.retain(|crashed| crashed.address != address);
     }
 
     /// Adds a node that another node named; returns false if it is already known.
@@ -87,10 +87,10 @@
         address: SocketAddr,
     ) -> bool {
         let added = RingNode::new(node, address, Some(now));
-        match self.place(added.key()) {
+        match self.search(added.key()) {
             Ok(_) => false,
-            Err(place) => {
-                self.nodes.insert(place, added);
+            Err(index) => {
+                self.nodes.insert(index, added);
                 true
             }
         }
@@ -98,8 +98,8 @@
 
     /// Removes a member that left the fleet.
     pub fn remove(&mut self, node: ident::NodeId) -> Option<RingNode> {
-        let place = self.place((point_of(node), node)).ok()?;
-        Some(self.nodes.remove(place))
+        let index = self.search((point_of(node), node)).ok()?;
+        Some(self.nodes.remove(index))
     }
 
     /// Removes a member that crashed.
@@ -115,13 +115,13 @@
         {
             return;
         }
-        let lost = LostNode {
+        let crashed = CrashedNode {
             address: removed.address,
             since: now,
         };
-        match self.lost_place(removed.address) {
-            Ok(place) => self.lost[place] = lost,
-            Err(place) => self.lost.insert(place, lost),
+        match self.search_crashed(removed.address) {
+            Ok(index) => self.crashed[index] = crashed,
+            Err(index) => self.crashed.insert(index, crashed),
         }
     }
 
@@ -133,8 +133,9 @@
     pub fn remove_expired(&mut self, now: time::NodeTime) {
         let stale = |known: &RingNode| known.hinted_at.is_some_and(|at| now.since(at) >= HINT_TTL);
         self.nodes.retain(|known| !stale(known));
-        if self.lost.len() < self.nodes.len() {
-            self.lost.retain(|lost| now.since(lost.since) < LOST_TTL);
+        if self.crashed.len() < self.nodes.len() {
+            self.crashed
+                .retain(|crashed| now.since(crashed.since) < CRASHED_TTL);
         }
     }
 
@@ -147,34 +148,34 @@
 
     /// The next node on the ring; `None` if `node` is the only one, or is not on the ring.
     pub fn successor(&self, node: ident::NodeId) -> Option<RingNode> {
-        let place = self.place((point_of(node), node)).ok()?;
-        let next = self.nodes[(place + 1) % self.nodes.len()];
+        let index = self.search((point_of(node), node)).ok()?;
+        let next = self.nodes[(index + 1) % self.nodes.len()];
         (next.node != node).then_some(next)
     }
 
     /// The share of the fleet that this node can see.
     pub fn visible_share(&self) -> f64 {
         let seen = self.nodes.len().max(1) as f64;
-        seen / (seen + self.lost.len() as f64)
+        seen / (seen + self.crashed.len() as f64)
     }
 
     /// Whether members were lost recently, so that more losses are likely.
     pub fn has_shrunk(&self, now: time::NodeTime) -> bool {
-        let fresh = |lost: &LostNode| now.since(lost.since) < SHRINK_PERIOD;
-        self.lost.iter().any(fresh)
+        let fresh = |crashed: &CrashedNode| now.since(crashed.since) < SHRINK_PERIOD;
+        self.crashed.iter().any(fresh)
     }
 
     /// The share of one node in the fleet.
     pub fn node_share(&self) -> f64 {
-        1.0 / (self.nodes.len() + self.lost.len()).max(1) as f64
+        1.0 / (self.nodes.len() + self.crashed.len()).max(1) as f64
     }
 
-    fn place(&self, key: (u64, ident::NodeId)) -> Result<usize, usize> {
+    fn search(&self, key: (u64, ident::NodeId)) -> Result<usize, usize> {
         self.nodes.binary_search_by_key(&key, RingNode::key)
     }
 
-    fn lost_place(&self, address: SocketAddr) -> Result<usize, usize> {
-        self.lost
-            .binary_search_by_key(&address, |lost| lost.address)
+    fn search_crashed(&self, address: SocketAddr) -> Result<usize, usize> {
+        self.crashed
+            .binary_search_by_key(&address, |crashed| crashed.address)
     }
 }
--- a/crates/anvil_quota/tests/fleet/tally.rs
+++ b/crates/anvil_quota/tests/fleet/tally.rs
@@ -44,9 +44,12 @@
 impl FleetTally {
     /// The wait that `share` of the admitted requests did not exceed, in microseconds.
     pub(crate) fn wait(&self, share: f64) -> u64 {
-        let place = (self.waits.len() as f64 * share) as usize;
+        let position = (self.waits.len() as f64 * share) as usize;
         let last = self.waits.len().saturating_sub(1);
-        self.waits.get(place.min(last)).copied().unwrap_or_default()
+        self.waits
+            .get(position.min(last))
+            .copied()
+            .unwrap_or_default()
     }
 }
 
@@ -96,9 +99,9 @@
         }
         admitted.sort_unstable();
         let allowed = allowed(quota);
-        for (place, end) in admitted.iter().enumerate() {
+        for (position, end) in admitted.iter().enumerate() {
             let first = admitted.partition_point(|at| *at + WINDOW <= *end);
-            tally.over = tally.over.max((place + 1 - first) as f64 - allowed);
+            tally.over = tally.over.max((position + 1 - first) as f64 - allowed);
         }
         tally
     }
