--- a/crates/anvil_edge/src/target.rs
+++ b/crates/anvil_edge/src/target.rs
@@ -53,8 +53,8 @@
     fn is_internal_header(&self, header: &str) -> bool;
 }
 
-/// The request of `order` with its end-to-end headers, to which a dialect adds its own; none where it
-/// can't be put on the wire.
+/// The request of `order` with its end-to-end headers, to which a dialect adds its own; none where
+/// it can't be put on the wire.
 pub fn plain_request(order: &effect::RunOrder) -> Option<http::Request<Bytes>> {
     let request = &order.request;
     let mut built = http::Request::new(request.body.clone());
--- a/crates/anvil_rules/tests/accounts.rs
+++ b/crates/anvil_rules/tests/accounts.rs
@@ -89,7 +89,7 @@
     a_key_in_clear => (
         "- {name: a, keys: [s3cret]}",
         "3:20: accounts[0].keys[0]",
-        "no digest of a key; write sha256: and 64 hex digits, never the key itself",
+        "not the digest of a key; write sha256: and 64 hex digits, never the key itself",
     ),
     one_key_of_two_accounts => (
         "- {name: a, keys: ['sha256:0000000000000000000000000000000000000000000000000000000000000001']}\n\
--- a/crates/anvil_types/src/account.rs
+++ b/crates/anvil_types/src/account.rs
@@ -1,4 +1,4 @@
-//! Client accounts: on whose behalf callers send requests, and how much each may ask for.
+//! Client accounts: the identity that a request is billed to, its API keys and its quota.
 
 use std::cmp::Ordering;
 use std::fmt;
@@ -11,34 +11,37 @@
 
 use crate::name;
 
-/// Longest API key, in bytes.
+/// Maximum length of an API key, in bytes.
 pub const MAX_KEY_BYTES: usize = 256;
 
-/// Bytes of a digest.
+/// Length of a digest, in bytes.
 const DIGEST_BYTES: usize = 32;
 
-/// What stands in front of a digest where people write one.
+/// Prefix of a digest in its text form.
 const DIGEST_PREFIX: &str = "sha256:";
 
 /// The SHA-256 digest of an API key.
 ///
-/// The key itself is dropped where it is read, so that no log, dump or message can show it. Keys are
-/// drawn at random by whoever issues them, so a plain digest can't be reversed by guessing.
+/// The key itself is dropped as soon as it is read, so that no log, dump or message can contain it.
+/// Keys are generated at random by their issuer, so an unsalted digest can't be reversed by
+/// guessing.
 #[derive(Clone, Copy, Serialize, Deserialize)]
 pub struct KeyDigest([u8; DIGEST_BYTES]);
 
-/// Why a text is no digest of a key.
+/// The text is not the digest of a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, Error)]
-#[display("no digest of a key; write sha256: and 64 hex digits, never the key itself")]
+#[display("not the digest of a key; write sha256: and 64 hex digits, never the key itself")]
 pub struct DigestError;
 
 impl KeyDigest {
-    /// Digests a key as its caller sends it.
+    /// Computes the digest of a key as the caller sends it.
     pub fn of(key: &[u8]) -> Self {
         Self(Sha256::digest(key).into())
     }
 
-    /// Reads the form that [`KeyDigest`] is displayed in.
+    /// Parses the text form that [`KeyDigest`] is displayed in.
+    ///
+    /// Fails if the prefix is missing or is not followed by exactly 64 hex digits.
     pub fn parse(text: &str) -> Result<Self, DigestError> {
         let digits = text.strip_prefix(DIGEST_PREFIX).ok_or(DigestError)?;
         let hex = digits.bytes().all(|byte| byte.is_ascii_hexdigit());
@@ -46,8 +49,8 @@
             return Err(DigestError);
         }
         let mut digest = [0; DIGEST_BYTES];
-        for (place, byte) in digest.iter_mut().enumerate() {
-            let pair = &digits[2 * place..2 * place + 2];
+        for (index, byte) in digest.iter_mut().enumerate() {
+            let pair = &digits[2 * index..2 * index + 2];
             *byte = u8::from_str_radix(pair, 16).map_err(|_| DigestError)?;
         }
         Ok(Self(digest))
@@ -55,7 +58,7 @@
 }
 
 impl PartialEq for KeyDigest {
-    /// Takes the same time wherever two digests differ.
+    /// Compares in constant time, so that response times reveal nothing about a stored digest.
     fn eq(&self, other: &Self) -> bool {
         self.0.ct_eq(&other.0).into()
     }
@@ -91,17 +94,17 @@
     }
 }
 
-/// How many requests an account may send over all nodes together.
+/// The request rate that an account may send, summed over all nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AccountQuota {
-    /// Requests in a thousand seconds, so that slow rates need no fractions.
+    /// Requests per 1,000 seconds, so that rates below one per second are integers.
     pub per_kilosecond: u64,
-    /// Requests beyond the rate that may come at once.
+    /// Requests above the rate that may arrive at once.
     pub burst: u32,
 }
 
 impl AccountQuota {
-    /// A quota of whole requests a second.
+    /// Builds a quota from a whole number of requests per second.
     pub const fn per_second(rate: u32, burst: u32) -> Self {
         Self {
             per_kilosecond: rate as u64 * 1_000,
@@ -109,13 +112,13 @@
         }
     }
 
-    /// Requests in a second.
+    /// The rate in requests per second.
     pub fn rate(&self) -> f64 {
         self.per_kilosecond as f64 / 1_000.0
     }
 }
 
-/// An account in messages between nodes; a digest of its name.
+/// Identifies an account in messages between nodes; a hash of its name.
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -123,26 +126,26 @@
 pub struct AccountId(pub u64);
 
 impl AccountId {
-    /// The id of the account called `name`.
+    /// Computes the id of the account `name`.
     pub fn of(name: &name::AccountName) -> Self {
         Self(xxh3::xxh3_64(name.as_str().as_bytes()))
     }
 }
 
-/// What a request says about the account that it is sent for.
+/// The account credential of a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum CallerCredential {
-    /// It bears no key.
+    /// The request carries no key.
     #[default]
     None,
-    /// It bears one key, of this digest.
+    /// The request carries one key, with this digest.
     Key(KeyDigest),
-    /// It bears several keys, or one that can't be a key.
+    /// The request carries several keys, or a key that is empty or longer than [`MAX_KEY_BYTES`].
     Malformed,
 }
 
 impl CallerCredential {
-    /// The credential of a request whose key headers hold `values`.
+    /// Reads the credential from the values of the request's key headers.
     pub fn of<'a, Values>(values: Values) -> Self
     where
         Values: IntoIterator<Item = &'a [u8]>,
@@ -151,9 +154,9 @@
         let Some(key) = values.next() else {
             return Self::None;
         };
-        let fits = !key.is_empty() && key.len() <= MAX_KEY_BYTES;
-        // Which of two keys counts would depend on who reads the header.
-        match fits && values.next().is_none() {
+        let valid = !key.is_empty() && key.len() <= MAX_KEY_BYTES;
+        // With two keys, components could disagree on which one applies.
+        match valid && values.next().is_none() {
             true => Self::Key(KeyDigest::of(key)),
             false => Self::Malformed,
         }
--- a/crates/anvil_types/src/context.rs
+++ b/crates/anvil_types/src/context.rs
@@ -1,11 +1,11 @@
-//! What a call carries down the whole chain.
+//! The context that a request propagates down its call chain.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
 use crate::ident;
 
-/// How much a request matters; lower classes are shed first.
+/// Priority of a request; lower classes are shed first.
 #[derive(
     Clone,
     Copy,
@@ -22,17 +22,17 @@
 )]
 #[serde(rename_all = "lowercase")]
 pub enum PriorityClass {
-    /// Work that may wait for quiet times.
+    /// Work that can be deferred to times of low load.
     #[display("low")]
     Low,
-    /// Ordinary work.
+    /// Ordinary requests.
     #[default]
     #[display("normal")]
     Normal,
-    /// Work that people wait for.
+    /// Requests that a person waits for.
     #[display("high")]
     High,
-    /// Work whose loss does harm, such as submissions and bids.
+    /// Requests whose loss does harm, such as submissions and bids.
     #[display("critical")]
     Critical,
 }
@@ -42,10 +42,10 @@
     pub const ALL: [Self; 4] = [Self::Low, Self::Normal, Self::High, Self::Critical];
 }
 
-/// A stable order among requests of one class, the same at every hop.
+/// Shedding order among requests of one class, the same at every hop.
 ///
-/// Every node sheds the higher lanes first, so the requests that survive one service survive the
-/// next ones too and whole requests complete.
+/// Every node sheds the higher lanes first, so the requests that one service admits are admitted by
+/// the next ones too, and complete requests succeed instead of parts of many.
 #[derive(
     Clone,
     Copy,
@@ -62,48 +62,51 @@
 )]
 pub struct LaneHash(pub u8);
 
-/// Bits of a lane that are left where its upper ones tell the class that the rules decided.
-const BAND_BITS: u32 = 6;
+/// Random bits in a lane whose upper bits encode the class that the rules decided.
+const RANDOM_BITS: u32 = 6;
 
 impl LaneHash {
-    /// The lane of a request whose class is its account's: what the rules say of it decides next, so
+    /// Moves the lane into a band for `rule_class`, for a request that takes its class from its
+    /// account.
+    ///
+    /// Within the account's class, requests are then shed by the class that the rules gave them, so
     /// that an account's submissions are shed after its lookups.
     #[must_use]
-    pub fn with_class_band(self, by_rule: PriorityClass) -> Self {
-        let band = PriorityClass::Critical as u8 - by_rule as u8;
-        Self(band << BAND_BITS | self.0 >> (u8::BITS - BAND_BITS))
+    pub fn with_class_band(self, rule_class: PriorityClass) -> Self {
+        let band = PriorityClass::Critical as u8 - rule_class as u8;
+        Self(band << RANDOM_BITS | self.0 >> (u8::BITS - RANDOM_BITS))
     }
 
-    /// The part of a banded lane that is drawn, from zero to one.
+    /// The random part of a lane with a class band, in the range 0 to 1.
     pub fn random_fraction(self) -> f64 {
-        let drawn = self.0 & ((1 << BAND_BITS) - 1);
-        f64::from(drawn) / f64::from(1_u8 << BAND_BITS)
+        let random = self.0 & ((1 << RANDOM_BITS) - 1);
+        f64::from(random) / f64::from(1_u8 << RANDOM_BITS)
     }
 }
 
-/// The context that the root request sets and each hop narrows.
+/// Context set by the root request; each hop lowers the remaining time and retry allowance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallContext {
-    /// The root request.
+    /// Identifies the root request.
     pub request: ident::RequestId,
-    /// Importance, decided once, at the root.
+    /// Priority class, decided once, at the root.
     pub class: PriorityClass,
-    /// What the rules said of it, where the class is that of the client account.
+    /// Class that the rules gave the request, if `class` is that of the client account.
     pub rule_class: Option<PriorityClass>,
     /// Shedding order within the class, decided once, at the root.
     pub lane: LaneHash,
-    /// Time left until the caller stops waiting, in microseconds.
+    /// Time until the caller stops waiting, in microseconds.
     pub remaining_micros: u64,
     /// Retries, beyond first attempts, that this branch of the chain may still spend.
     pub retries_left: u16,
     /// Number of hops above this call.
     pub depth: u8,
-    /// Whether a run may be repeated.
+    /// Whether the request may run more than once.
     pub idempotent: bool,
-    /// Whether the call, or one above it, is a further attempt at something that may have run.
+    /// Whether the call, or one above it, retries an attempt that may have run.
     pub repeat: bool,
-    /// The key that names a non-idempotent action, where the caller sent one.
+    /// Idempotency key of a non-idempotent request, if the caller sent one.
     pub key: Option<ident::RequestKey>,
-    /// The digest by which resends of the same request are recognised.
+    /// Fingerprint by which resends of the same request are recognised.
     pub fingerprint: ident::RequestFingerprint,
 }
--- a/crates/anvil_types/src/ident.rs
+++ b/crates/anvil_types/src/ident.rs
@@ -1,4 +1,4 @@
-//! Identities of nodes, calls, requests and keys.
+//! Identifiers of nodes, calls, requests and idempotency keys.
 
 use std::sync::Arc;
 
@@ -6,17 +6,17 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3;
 
-/// One run of one node process; drawn at random at each start.
+/// Identifies one run of a node process; generated at random at each start.
 ///
-/// A replaced instance at the same address has another identity, so whatever was bound to the
-/// process that vanished can't be mistaken for its successor's.
+/// A process that restarts at the same address gets another id, so state that belongs to the
+/// previous process is never attributed to its successor.
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[display("{_0:016x}")]
 pub struct NodeId(pub u64);
 
-/// One call as dispatched by one node; answers are matched by it and by the attempt.
+/// Identifies a call of one node; answers are matched by this id and the attempt number.
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -24,27 +24,29 @@
 pub struct CallId {
     /// The node that dispatched the call.
     pub node: NodeId,
-    /// Counts the calls of that node from one.
+    /// Number of the call at that node, from one.
     pub sequence: u64,
 }
 
-/// The root request that a whole chain of calls serves.
+/// Identifies the root request of a chain of calls.
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[display("{_0:032x}")]
-pub struct RequestId(#[serde(with = "wide")] pub u128);
+pub struct RequestId(#[serde(with = "hex_u128")] pub u128);
 
-/// A digest of the service and the idempotency key that names one non-idempotent action.
+/// A hash of a service and the idempotency key that a caller sent for it.
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[display("{_0:032x}")]
-pub struct RequestKey(#[serde(with = "wide")] pub u128);
+pub struct RequestKey(#[serde(with = "hex_u128")] pub u128);
 
 impl RequestKey {
-    /// Digests the key that a caller sent for `service`, so that equal keys of two services
-    /// stay apart and a key's length costs nothing further on.
+    /// Hashes the key that a caller sent for `service`.
+    ///
+    /// Equal keys of two services give different hashes, and the fixed size keeps long keys out of
+    /// messages and tables.
     pub fn of(service: &str, key: &[u8]) -> Self {
         let mut bytes = Vec::with_capacity(service.len() + 1 + key.len());
         bytes.extend_from_slice(service.as_bytes());
@@ -54,16 +56,16 @@
     }
 }
 
-macro_rules! foreign_text {
-    ($(#[$note:meta])* $name:ident) => {
-        $(#[$note])*
+macro_rules! opaque_text {
+    ($(#[$attribute:meta])* $name:ident) => {
+        $(#[$attribute])*
         #[derive(
             Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
         )]
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Takes `text` as it is; whoever made it gives it its form.
+            /// Wraps `text` without a check; its format is up to its author.
             pub fn new(text: &str) -> Self {
                 Self(Arc::from(text))
             }
@@ -76,25 +78,25 @@
     };
 }
 
-foreign_text! {
-    /// The id by which a caller names its request; logs show it, and a target that calls on behalf
-    /// of a request may build its own ids from it.
+opaque_text! {
+    /// A caller's own id of its request; it appears in logs, and a target that makes further calls
+    /// for the request may derive their ids from it.
     RequestLabel
 }
-foreign_text! {
-    /// One start of a target, as the target names it; a process that comes back at the same address
-    /// has another one.
+opaque_text! {
+    /// Identifies one run of a target process, in the target's own words; a process that restarts
+    /// at the same address has another id.
     IncarnationId
 }
 
-/// A digest of what a request asks for, equal for its resends; see `docs/design/quarantine.md`.
+/// A hash of a request's content, equal for its resends; see `docs/design/quarantine.md`.
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[display("{_0:016x}")]
 pub struct RequestFingerprint(pub u64);
 
-/// A revision of the operators' rules; zero stands for the built-in rules of a fresh fleet.
+/// A revision of the operators' rules; zero denotes the built-in rules of a new fleet.
 #[derive(
     Clone,
     Copy,
@@ -111,21 +113,22 @@
 )]
 pub struct RuleRevision(pub u64);
 
-/// Writes 128-bit identities as text where people read them.
+/// Serializes 128-bit ids as hexadecimal text in human-readable formats.
 ///
-/// JSON values hold 64 bits; a dump that met a wider number made the whole node panic.
-mod wide {
+/// `serde_json::Value` holds integers of at most 64 bits; a wider one in a dump made the node
+/// panic.
+mod hex_u128 {
     use serde::de::Error;
     use serde::{Deserialize, Deserializer, Serializer};
 
-    pub(super) fn serialize<S>(wide: &u128, serializer: S) -> Result<S::Ok, S::Error>
+    pub(super) fn serialize<S>(value: &u128, serializer: S) -> Result<S::Ok, S::Error>
     where
         S: Serializer,
     {
         if serializer.is_human_readable() {
-            return serializer.collect_str(&format_args!("{wide:032x}"));
+            return serializer.collect_str(&format_args!("{value:032x}"));
         }
-        serializer.serialize_u128(*wide)
+        serializer.serialize_u128(*value)
     }
 
     pub(super) fn deserialize<'text, D>(deserializer: D) -> Result<u128, D::Error>
--- a/crates/anvil_types/src/lib.rs
+++ b/crates/anvil_types/src/lib.rs
@@ -1,7 +1,7 @@
-//! Vocabulary that every part of anvilworks shares.
+//! Types shared by all crates of anvilworks.
 //!
-//! The words follow `docs/GLOSSARY.md`: an *instance* is a machine or container, an *availability
-//! zone* is where it stands, a *caller* sends requests and a *target* runs them.
+//! The terms follow `docs/GLOSSARY.md`: an *instance* is a machine or container, an *availability
+//! zone* is its location, a *caller* sends requests and a *target* runs them.
 
 pub mod account;
 pub mod backoff;
--- a/crates/anvil_types/src/name.rs
+++ b/crates/anvil_types/src/name.rs
@@ -1,26 +1,26 @@
-//! Checked names of client accounts, services, availability zones, regions and rules.
+//! Validated names of client accounts, services, availability zones, regions and rules.
 
 use std::sync::Arc;
 
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
 
-/// The longest name accepted, in bytes; it keeps membership messages small.
+/// Maximum length of a name, in bytes; it keeps membership messages small.
 pub const MAX_NAME_BYTES: usize = 63;
 
 /// Why a name was refused.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error)]
 pub enum NameError {
-    /// The name holds no character.
+    /// The name is empty.
     #[display("a name must not be empty")]
     Empty,
     /// The name is longer than [`MAX_NAME_BYTES`].
     #[display("a name must not be longer than {MAX_NAME_BYTES} bytes")]
     Long,
-    /// The name holds a character outside `a-z`, `0-9` and `-`.
+    /// The name contains a character outside `a-z`, `0-9` and `-`.
     #[display("a name holds only a-z, 0-9 and '-', not {found:?}")]
     Character {
-        /// The first character that was refused.
+        /// The first such character.
         found: char,
     },
 }
@@ -40,8 +40,8 @@
 }
 
 macro_rules! checked_name {
-    ($(#[$note:meta])* $name:ident) => {
-        $(#[$note])*
+    ($(#[$attribute:meta])* $name:ident) => {
+        $(#[$attribute])*
         #[derive(
             Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Display, Serialize, Deserialize,
         )]
@@ -49,7 +49,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Checks `text` and keeps it; fails with the first fault found.
+            /// Validates `text`; fails with the first error found.
             pub fn new(text: &str) -> Result<Self, NameError> {
                 check(text)?;
                 Ok(Self(Arc::from(text)))
@@ -93,8 +93,9 @@
 }
 
 impl Default for ServiceName {
-    /// The name of no service: the caller left the choice to the rules, and no target can announce
-    /// it, so a request that no rule sends anywhere reaches nobody.
+    /// The empty name, for a request whose caller leaves the choice of the service to the rules.
+    ///
+    /// No target can announce an empty name, so a request that no rule routes reaches no target.
     fn default() -> Self {
         Self(Arc::from(""))
     }
--- a/crates/anvil_types/src/sorted.rs
+++ b/crates/anvil_types/src/sorted.rs
@@ -1,9 +1,9 @@
-//! A map kept as a sorted vector and searched by halving.
+//! A map stored as a sorted vector with binary search.
 
-/// Pairs in order of their keys.
+/// A map whose entries are sorted by key.
 ///
-/// Tables of a node hold tens to a few thousand entries; there a sorted vector is smaller than a
-/// tree and its order makes every iteration, and so every effect, reproducible.
+/// Tables of a node hold tens to a few thousand entries. At that size a sorted vector is smaller
+/// than a tree, and its fixed order makes every iteration, and so every effect, reproducible.
 #[derive(Clone, Debug)]
 pub struct SortedTable<Key, Value> {
     entries: Vec<(Key, Value)>,
@@ -21,17 +21,17 @@
 where
     Key: Ord + Copy,
 {
-    fn place(&self, key: Key) -> Result<usize, usize> {
-        // Keys are mostly minted in rising order, so the end is tried first.
+    fn search(&self, key: Key) -> Result<usize, usize> {
+        // Keys are mostly allocated in increasing order, so the end is checked first.
         match self.entries.last() {
             Some((last, _)) if *last < key => Err(self.entries.len()),
             _ => self.entries.binary_search_by(|(other, _)| other.cmp(&key)),
         }
     }
 
-    /// Puts `value` under `key` and returns what stood there.
+    /// Inserts `value` at `key` and returns the previous value, if any.
     pub fn insert(&mut self, key: Key, value: Value) -> Option<Value> {
-        match self.place(key) {
+        match self.search(key) {
             Ok(index) => Some(std::mem::replace(&mut self.entries[index].1, value)),
             Err(index) => {
                 self.entries.insert(index, (key, value));
@@ -40,51 +40,51 @@
         }
     }
 
-    /// Takes out what stands under `key`.
+    /// Removes and returns the value at `key`.
     pub fn remove(&mut self, key: Key) -> Option<Value> {
-        let index = self.place(key).ok()?;
+        let index = self.search(key).ok()?;
         Some(self.entries.remove(index).1)
     }
 
-    /// What stands under `key`.
+    /// Returns the value at `key`.
     pub fn get(&self, key: Key) -> Option<&Value> {
-        let index = self.place(key).ok()?;
+        let index = self.search(key).ok()?;
         Some(&self.entries[index].1)
     }
 
-    /// What stands under `key`, to be changed.
+    /// Returns a mutable reference to the value at `key`.
     pub fn get_mut(&mut self, key: Key) -> Option<&mut Value> {
-        let index = self.place(key).ok()?;
+        let index = self.search(key).ok()?;
         Some(&mut self.entries[index].1)
     }
 
-    /// What stands under `key`, put there by `make` where nothing did.
+    /// Returns the value at `key`, inserting the result of `make` if there is none.
     pub fn get_or_insert_with<Make>(&mut self, key: Key, make: Make) -> &mut Value
     where
         Make: FnOnce() -> Value,
     {
-        let place = match self.place(key) {
-            Ok(place) => place,
-            Err(place) => {
-                self.entries.insert(place, (key, make()));
-                place
+        let index = match self.search(key) {
+            Ok(index) => index,
+            Err(index) => {
+                self.entries.insert(index, (key, make()));
+                index
             }
         };
-        &mut self.entries[place].1
+        &mut self.entries[index].1
     }
 
-    /// All entries, in order.
+    /// Iterates over all entries in order of their keys.
     pub fn iter(&self) -> std::slice::Iter<'_, (Key, Value)> {
         self.entries.iter()
     }
 
-    /// The keys of the entries that `wanted` picks, in order.
-    pub fn keys_where<Wanted>(&self, wanted: Wanted) -> Vec<Key>
+    /// Returns the keys whose values satisfy `predicate`, in order.
+    pub fn keys_where<Predicate>(&self, predicate: Predicate) -> Vec<Key>
     where
-        Wanted: Fn(&Value) -> bool,
+        Predicate: Fn(&Value) -> bool,
     {
-        let picked = self.entries.iter().filter(|(_, value)| wanted(value));
-        picked.map(|(key, _)| *key).collect()
+        let matching = self.entries.iter().filter(|(_, value)| predicate(value));
+        matching.map(|(key, _)| *key).collect()
     }
 
     /// Number of entries.
@@ -92,7 +92,7 @@
         self.entries.len()
     }
 
-    /// Whether there is no entry.
+    /// Whether the table has no entries.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
--- a/crates/anvil_types/src/store.rs
+++ b/crates/anvil_types/src/store.rs
@@ -1,7 +1,7 @@
-//! Questions to the platform's key-value service and their outcomes, as data.
+//! Requests to the platform's key-value service and their outcomes, as data.
 //!
-//! The reducer names the question in an effect and gets the outcome as an event; the HTTP client
-//! in `anvil_store` stands between. See `docs/design/store.md`.
+//! The reducer emits a request as an effect and receives the outcome as an event; the HTTP client
+//! in `anvil_store` executes it. See `docs/design/store.md`.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,10 +10,11 @@
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// Largest value that the store holds, in bytes.
+/// Maximum size of a value in the store, in bytes.
 pub const MAX_VALUE_BYTES: usize = 1024 * 1024;
 
-/// The state module that asked, so that the reducer hands the outcome back without a table.
+/// The state module that sent a request, so that the reducer can return the outcome to it without a
+/// lookup table.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum StoreRequester {
     /// Membership, contact entries and rule changes.
@@ -24,22 +25,22 @@
     Keys,
 }
 
-/// One question to the store, unique within a node's run.
+/// Identifies a request to the store, unique within one run of a node.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[display("{requester}-{sequence}")]
 pub struct StoreId {
-    /// Who asked.
+    /// The module that sent the request.
     pub requester: StoreRequester,
-    /// Counts the questions of that part from one.
+    /// Number of the request among those of the module, from one.
     pub sequence: u64,
 }
 
-/// Where an entry stands, as slash-separated text such as `rules/log/00000000000000000007`.
+/// Key of an entry, as slash-separated text such as `rules/log/00000000000000000007`.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct StoreKey(Arc<str>);
 
 impl StoreKey {
-    /// Takes `text` as it is; the store knows no other form.
+    /// Wraps `text` without a check; the store accepts any text as a key.
     pub fn new(text: &str) -> Self {
         Self(Arc::from(text))
     }
@@ -50,143 +51,144 @@
     }
 }
 
-/// A point in the store's order of writes; it only rises, over all keys.
+/// Position in the store's order of writes over all keys; it only increases.
 #[derive(
     Clone, Copy, Debug, Default, Display, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct StoreVersion(pub u64);
 
-/// A lease; entries attached to it vanish when it lapses.
+/// Identifies a lease; the store deletes the entries attached to a lease when it expires.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct LeaseId(pub u64);
 
-/// One entry as read.
+/// An entry as read from the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreEntry {
-    /// Where it stands.
+    /// The key of the entry.
     pub key: StoreKey,
-    /// The write that made it.
+    /// The version of the write that created it.
     pub version: StoreVersion,
-    /// What it holds.
+    /// The content of the entry.
     pub value: Bytes,
 }
 
-/// What must stand at a key for a write to take effect.
+/// Precondition of a compare-and-swap write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SwapCondition {
-    /// Nothing.
+    /// There is no entry at the key.
     Absent,
-    /// The entry of exactly this write.
+    /// The entry at the key has exactly this version.
     At(StoreVersion),
 }
 
-/// One question to the store.
+/// A request to the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoreRequest {
-    /// Read one entry; [`StoreReply::Entry`].
+    /// Reads one entry; answered by [`StoreReply::Entry`].
     Get {
-        /// Which.
+        /// The key of the entry.
         key: StoreKey,
     },
-    /// Write one entry if `base` stands there; [`StoreReply::Swapped`] or
+    /// Writes one entry if `condition` holds; answered by [`StoreReply::Swapped`] or
     /// [`StoreOutcome::Conflict`].
     Swap {
-        /// Which.
+        /// The key of the entry.
         key: StoreKey,
-        /// What must stand there.
+        /// The precondition.
         condition: SwapCondition,
-        /// What to write, at most [`MAX_VALUE_BYTES`] bytes.
+        /// The value to write, at most [`MAX_VALUE_BYTES`] bytes.
         value: Bytes,
-        /// The lease that the entry vanishes with.
+        /// The lease that the entry is attached to.
         lease: Option<LeaseId>,
     },
-    /// Remove one entry if it is still that of `version`; [`StoreReply::Removed`], also where
-    /// nothing stands there any more, or [`StoreOutcome::Conflict`].
+    /// Removes one entry if it still has `version`; answered by [`StoreReply::Removed`], also if
+    /// there is no entry any more, or by [`StoreOutcome::Conflict`].
     Remove {
-        /// Which.
+        /// The key of the entry.
         key: StoreKey,
-        /// The write that made it.
+        /// The expected version.
         version: StoreVersion,
     },
-    /// Create a lease; [`StoreReply::Granted`].
+    /// Creates a lease; answered by [`StoreReply::Granted`].
     Grant {
-        /// Time until it lapses unless renewed.
+        /// Time to live, unless renewed.
         lease: Duration,
     },
-    /// Renew a lease for its first span; [`StoreReply::Renewed`], or [`StoreReply::Lapsed`] where
-    /// it is gone with its entries.
+    /// Renews a lease for its original time to live; answered by [`StoreReply::Renewed`], or by
+    /// [`StoreReply::Lapsed`] if it has expired and its entries are deleted.
     Renew {
-        /// Which.
+        /// The lease to renew.
         lease: LeaseId,
     },
-    /// Read the entries whose keys start with `prefix`, in order; [`StoreReply::Listed`].
+    /// Reads the entries whose keys start with `prefix`, in order; answered by
+    /// [`StoreReply::Listed`].
     List {
-        /// The start of the keys.
+        /// The key prefix.
         prefix: StoreKey,
-        /// Only keys behind this one, to read on.
+        /// Only keys after this one, to continue an earlier list.
         after: Option<StoreKey>,
-        /// Most entries wanted.
+        /// Maximum number of entries to return.
         limit: u32,
     },
-    /// Wait for a write under `prefix` behind `seen`; [`StoreReply::Listed`] with the entries
-    /// written since, empty where `wait` passed without one.
+    /// Waits for a write under `prefix` after `seen`; answered by [`StoreReply::Listed`] with the
+    /// entries written since, or with none if `wait` passes without a write.
     Watch {
-        /// The start of the keys.
+        /// The key prefix.
         prefix: StoreKey,
-        /// The point up to which the asker knows everything.
+        /// The position up to which the requester has seen all writes.
         seen: StoreVersion,
-        /// Longest wait.
+        /// Maximum time to wait.
         wait: Duration,
     },
 }
 
-/// What the store did or found.
+/// The store's reply to a request that it carried out.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoreReply {
-    /// The entry, where one stands there.
+    /// The entry at the key, if any.
     Entry(Option<StoreEntry>),
     /// The write took effect.
     Swapped {
-        /// Its place in the order of writes.
+        /// The version of the write.
         version: StoreVersion,
     },
-    /// Nothing stands there any more.
+    /// There is no entry at the key any more.
     Removed,
     /// A lease was created.
     Granted {
-        /// Its identity.
+        /// The new lease.
         lease: LeaseId,
     },
-    /// The lease holds for its whole span again, counted from when the question was sent.
+    /// The lease was renewed; its time to live counts from when the request was sent.
     Renewed,
-    /// The lease is gone.
+    /// The lease has expired.
     Lapsed,
     /// Entries in the order of their keys.
     Listed {
         /// The entries.
         entries: Vec<StoreEntry>,
-        /// The point in the order of writes up to which the reply is complete.
+        /// The position in the order of writes up to which the reply is complete.
         seen: StoreVersion,
         /// Whether further entries follow the last one.
         more: bool,
     },
 }
 
-/// How one question ended.
+/// The outcome of a request to the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoreOutcome {
-    /// It was carried out.
+    /// The store carried out the request.
     Done(StoreReply),
-    /// Something else stands at the key; nothing was written.
+    /// The precondition did not hold; nothing was written.
     Conflict {
-        /// What stands there, where anything does.
+        /// The current entry at the key, if any.
         current: Option<StoreEntry>,
     },
-    /// A watch asked for writes that the store has forgotten; the entries must be read anew.
+    /// The store no longer has the writes that a watch requested; the entries must be listed again.
     HistoryTrimmed,
-    /// Proved not to have been carried out: no connection came about, the store refused, or the
-    /// node's own call budget held it back.
+    /// The request was certainly not carried out: the connection could not be opened, the store
+    /// refused it, or the node's own call budget did not allow it.
     Unavailable,
-    /// The answer was lost after the question left, so it may have been carried out.
+    /// The reply was lost after the request was sent, so the request may have been carried out.
     Unknown,
 }
--- a/crates/anvil_types/src/time.rs
+++ b/crates/anvil_types/src/time.rs
@@ -1,4 +1,4 @@
-//! Time as the reducer sees it: injected, monotonic, never read from a clock.
+//! Time in the reducer: passed in with each event, monotonic, never read from a clock.
 
 use std::ops;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 
 /// Microseconds on one node's monotonic clock.
 ///
-/// Values of two nodes can't be compared, which is why deadlines travel as time left.
+/// Values of two nodes can't be compared, which is why messages carry deadlines as remaining time.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -22,7 +22,7 @@
         Self(millis * 1_000)
     }
 
-    /// Time since `earlier`, or zero where `earlier` lies ahead.
+    /// Time since `earlier`, or zero if `earlier` is later than `self`.
     pub const fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
--- a/crates/anvil_types/src/treatment.rs
+++ b/crates/anvil_types/src/treatment.rs
@@ -1,6 +1,6 @@
-//! How a rule says that a request is to be treated.
+//! The settings that a rule applies to a request.
 //!
-//! See `docs/RULES.md` for the language; the fields here are its checked outcome.
+//! See `docs/RULES.md` for the rule language; the fields here hold its validated values.
 
 use std::time::Duration;
 
@@ -8,47 +8,47 @@
 
 use crate::{context, ident};
 
-/// What the first matching rule decides for a request.
+/// The settings that the first matching rule applies to a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RuleTreatment {
-    /// Importance under overload.
+    /// Priority class under overload.
     pub class: context::PriorityClass,
-    /// Whether a run may be repeated without harm.
+    /// Whether the request may run more than once without harm.
     pub idempotent: bool,
-    /// Retries that the whole chain below a root request may spend, beyond first attempts.
+    /// Retry allowance of the whole call chain below a root request, not counting first attempts.
     pub chain_retries: u16,
-    /// Share of a node's first attempts that it may add as retries, in percent.
+    /// Retries that a node may send, in percent of its first attempts.
     pub retry_ratio_percent: u8,
-    /// First pause before a retry; later ones double, with jitter.
+    /// Pause before the first retry; later pauses double, with jitter.
     pub backoff: Duration,
-    /// Time a root request may take where the caller states none; also the upper bound.
+    /// Timeout of a root request if the caller sets none; also the maximum that a caller can set.
     pub deadline: Duration,
-    /// Longest wait in the queue of a target's node.
+    /// Maximum wait in the queue of a target's node.
     pub queue_wait: Duration,
-    /// Targets that one call may be sent to, the first one included.
+    /// Maximum number of targets that one call may be sent to, including the first one.
     pub attempts: u16,
-    /// Time within which an answer is worth most; later ones count less until the deadline.
+    /// Latency objective: an answer within it has full value, a later one less until the deadline.
     pub objective: Option<Duration>,
-    /// Targets that one request may crash before it is quarantined.
+    /// Number of targets that a request may crash before it is quarantined.
     pub crash_limit: u8,
-    /// How long a quarantined request stays refused.
+    /// How long a quarantined request is refused.
     pub quarantine: Duration,
-    /// What happens to a matching request apart from its limits.
+    /// What to do with a matching request.
     pub action: RuleAction,
-    /// Whether a request needs no key of a client account.
+    /// Whether a request is accepted without the key of a client account.
     pub public: bool,
 }
 
-/// Whether a matching request is served at all.
+/// What to do with a matching request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum RuleAction {
-    /// Serve it as the limits allow.
+    /// Serve it within the limits.
     #[default]
     Serve,
     /// Refuse it as not run.
     Refuse,
-    /// Answer that there is nothing at its host and path.
+    /// Answer that nothing exists at its host and path.
     #[serde(rename = "not-found")]
     NotFound,
 }
@@ -57,7 +57,7 @@
     fn default() -> Self {
         Self {
             class: context::PriorityClass::Normal,
-            // Nothing is known about the request, so a second run is assumed to do harm.
+            // Nothing is known about the request, so a second run must be assumed to do harm.
             idempotent: false,
             chain_retries: 3,
             retry_ratio_percent: 10,
@@ -74,11 +74,11 @@
     }
 }
 
-/// Names the rule that decided, so that every decision can be explained.
+/// Identifies the rule that applied to a request, so that every decision can be explained.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RuleReference {
     /// The revision of the rules in force when the request was matched.
     pub revision: ident::RuleRevision,
-    /// The place of the rule in the list, from zero; none where the built-in default decided.
+    /// Index of the rule in the list, from zero; none if the built-in default applied.
     pub index: Option<u32>,
 }
--- a/crates/anvil_types/src/verdict.rs
+++ b/crates/anvil_types/src/verdict.rs
@@ -1,4 +1,4 @@
-//! What is known about whether a request ran.
+//! Outcomes of calls: whether a request ran, and why not.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
@@ -8,13 +8,13 @@
 /// Only [`CallVerdict::NotRun`] may be retried for a non-idempotent request.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CallVerdict {
-    /// A whole answer of the target stands behind the verdict.
+    /// The target's complete answer was received.
     #[display("answered")]
     Answered,
-    /// Proved not to have run: refused before dispatch, or by the target's own node.
+    /// The request certainly did not run: it was refused before dispatch, or by the target's node.
     #[display("not-run")]
     NotRun(RefusalReason),
-    /// Nobody can tell whether it ran.
+    /// It is unknown whether the request ran.
     #[display("may-have-run")]
     MayHaveRun(UncertaintyReason),
 }
@@ -27,22 +27,22 @@
     /// No live target offers the service.
     #[display("no-target")]
     NoTarget,
-    /// Nobody ever announced the service.
+    /// No target has ever announced the service.
     #[display("unknown-service")]
     UnknownService,
-    /// The request stood below the cut line of a service under pressure.
+    /// The request was below the cut line of an overloaded service.
     #[display("shed")]
     Shed,
-    /// The target itself refused it without running it.
+    /// The target refused the request without running it.
     #[display("target-refused")]
     TargetRefused,
     /// The queue of the target's node was full.
     #[display("queue-full")]
     QueueFull,
-    /// The deadline passed, or could no longer be met, before the request was dispatched.
+    /// The deadline passed, or could no longer be met, before dispatch.
     #[display("deadline")]
     Deadline,
-    /// The node or its target is leaving.
+    /// The node or its target is shutting down.
     #[display("leaving")]
     Leaving,
     /// The chain's retry allowance is spent.
@@ -51,74 +51,74 @@
     /// The request is suspected of crashing the targets that run it.
     #[display("quarantined")]
     Quarantined,
-    /// The body is above the documented limit.
+    /// The body exceeds the documented size limit.
     #[display("body-too-large")]
     BodyTooLarge,
-    /// No owner can vouch for the idempotency key at the moment.
+    /// No owner can grant the idempotency key at the moment.
     #[display("key-unavailable")]
     KeyUnavailable,
     /// The idempotency key was used for another request.
     #[display("key-mismatch")]
     KeyMismatch,
-    /// The caller went away, or the parent request ended.
+    /// The caller disconnected, or the parent request ended.
     #[display("cancelled")]
     Cancelled,
     /// No connection to the chosen node or target could be opened.
     #[display("unreachable")]
     Unreachable,
-    /// The node has not yet learned the rules that its peers hold.
+    /// The node has not yet received the rules that its peers have.
     #[display("rules-unknown")]
     RulesUnknown,
-    /// A rule says that nothing stands at the request's host and path.
+    /// A rule says that nothing exists at the request's host and path.
     #[display("not-found")]
     NotFound,
-    /// A rule says that such requests are refused.
+    /// A rule refuses such requests.
     #[display("rule")]
     Rule,
     /// The request is malformed.
     #[display("malformed")]
     Malformed,
-    /// It must not run twice, and requests in front of it on its connection are not answered yet.
+    /// The request is not idempotent, and earlier requests on its connection are not answered yet.
     #[display("out-of-turn")]
     OutOfTurn,
-    /// It bears no key of a client account, or one that nobody holds.
+    /// The request carries no key of a client account, or an unknown one.
     #[display("unauthenticated")]
     Unauthenticated,
-    /// Its client account has used up its quota.
+    /// The client account has used up its quota.
     #[display("over-quota")]
     OverQuota,
-    /// Nobody knows for which client account the local target calls.
+    /// The client account that the local target calls for is unknown.
     #[display("account-unknown")]
     AccountUnknown,
 }
 
-/// Why nobody can tell whether a request ran.
+/// Why it is unknown whether a request ran.
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub enum UncertaintyReason {
-    /// The connection broke after the first byte had left.
+    /// The connection broke after the first byte was sent.
     #[display("connection-lost")]
     ConnectionLost,
-    /// The deadline passed while the request was out.
+    /// The deadline passed after the request was dispatched.
     #[display("deadline")]
     Deadline,
-    /// The target broke off in the middle of its answer.
+    /// The target closed the connection in the middle of its answer.
     #[display("answer-cut")]
     AnswerCut,
-    /// The node that ran the request is gone.
+    /// The node that ran the request failed or left.
     #[display("node-lost")]
     NodeLost,
-    /// The record of the key was lost with its owner.
+    /// The record of the idempotency key was lost with its owners.
     #[display("record-lost")]
     RecordLost,
-    /// The caller went away, or the parent request ended, while the request was out.
+    /// The caller disconnected, or the parent request ended, after the request was dispatched.
     #[display("cancelled")]
     Cancelled,
-    /// The node was stopped by force.
+    /// The node was forced to stop before the call ended.
     #[display("stopped")]
     Stopped,
-    /// The same key is running at this moment for an earlier copy of the request.
+    /// An earlier copy of the request holds the idempotency key and is still running.
     #[display("in-progress")]
     InProgress,
 }
--- a/crates/anvil_wire/src/call.rs
+++ b/crates/anvil_wire/src/call.rs
@@ -75,8 +75,8 @@
     pub deep: Option<CutLine>,
     /// Whether the node or its target is leaving.
     pub leaving: bool,
-    /// The node's latest announcement to the fleet when it made this report, so that one that arrives
-    /// behind a later announcement is known for old.
+    /// The node's latest announcement to the fleet when it made this report, so that one that
+    /// arrives behind a later announcement is known for old.
     pub announced: u32,
 }
 
--- a/crates/anvil_wire/src/compression.rs
+++ b/crates/anvil_wire/src/compression.rs
@@ -1,9 +1,9 @@
 //! Frames of one connection, made small by what went before them on it.
 //!
-//! Requests of one route differ in their ids and the end of their paths; the rest, from the header lines
-//! to the treatment that the rules decided, is the same each time. Both ends keep the latest frames of a
-//! direction, and what repeats in them crosses as a reference. Bytes between zones fell by a fifth, 0.032
-//! to 0.025 GB on a heavy day of Reclamo Simple; see `docs/design/edges.md`.
+//! Requests of one route differ in their ids and the end of their paths; the rest, from the header
+//! lines to the treatment that the rules decided, is the same each time. Both ends keep the latest
+//! frames of a direction, and what repeats in them crosses as a reference. Bytes between zones fell
+//! by a fifth, 0.032 to 0.025 GB on a heavy day of Reclamo Simple; see `docs/design/edges.md`.
 
 use std::borrow::Cow;
 
@@ -11,18 +11,19 @@
 
 use crate::codec;
 
-/// The first byte of a packed frame. Plain frames begin with the number of their kind, of which there are
-/// fewer than this.
+/// The first byte of a packed frame. Plain frames begin with the number of their kind, of which
+/// there are fewer than this.
 const PACKED: u8 = 0x80;
 
 /// Bytes of the plain length behind [`PACKED`], big-endian; they can tell [`PACKED_LIMIT`].
 const PLAIN_LENGTH_BYTES: usize = 2;
 
-/// Frames above this length cross as they are: what makes them long is a body, which is rarely like others.
+/// Frames above this length cross as they are: what makes them long is a body, which is rarely like
+/// others.
 const PACKED_LIMIT: usize = 2_048;
 
-/// Bytes kept of the beginning and of the end of a frame, where what repeats stands; a body between them
-/// would only push the rest out.
+/// Bytes kept of the beginning and of the end of a frame, where what repeats stands; a body between
+/// them would only push the rest out.
 const KEPT_HEAD: usize = 320;
 /// See [`KEPT_HEAD`].
 const KEPT_TAIL: usize = 64;
@@ -60,8 +61,8 @@
 }
 
 impl FrameCompressor {
-    /// Packs a frame as [`codec::encode_frame`] made it, with its length in front, where that makes it
-    /// smaller. Frames must leave in the order in which they are packed.
+    /// Packs a frame as [`codec::encode_frame`] made it, with its length in front, where that makes
+    /// it smaller. Frames must leave in the order in which they are packed.
     pub fn compress(&mut self, encoded: Vec<u8>) -> Vec<u8> {
         let plain = encoded.get(codec::LENGTH_BYTES..).unwrap_or_default();
         let packed = self.packed(plain);
@@ -94,8 +95,8 @@
 }
 
 impl FrameDecompressor {
-    /// The plain bytes of a frame, for [`codec::decode_frame`]. After an error the connection must be
-    /// closed, since what follows refers to what was lost.
+    /// The plain bytes of a frame, for [`codec::decode_frame`]. After an error the connection must
+    /// be closed, since what follows refers to what was lost.
     pub fn decompress<'a>(&mut self, bytes: &'a [u8]) -> Result<Cow<'a, [u8]>, codec::FrameError> {
         let plain = match bytes.split_first() {
             Some((&PACKED, rest)) => Cow::Owned(self.unpacked(rest)?),
--- a/crates/anvil_wire/src/gossip.rs
+++ b/crates/anvil_wire/src/gossip.rs
@@ -156,14 +156,15 @@
         #[serde(deserialize_with = "bounded::list::<_, _, MAX_CHANGES>")]
         changes: Vec<LoggedChange>,
     },
-    /// The store's history was cut, as the sender's watch shows; a receiver that holds a contact slot looks
-    /// whether its lease still runs.
+    /// The store's history was cut, as the sender's watch shows; a receiver that holds a contact
+    /// slot looks whether its lease still runs.
     CheckContactLease,
     /// A question or reply about who has a revision in force.
     Census(CensusMessage),
     /// Between entry nodes and homes of client accounts; membership takes only the head of it.
     Quota(quota::QuotaMessage),
-    /// Between a node that stops and the others; membership takes only the head and the claims of it.
+    /// Between a node that stops and the others; membership takes only the head and the claims of
+    /// it.
     Shutdown(shutdown::ShutdownMessage),
 }
 
--- a/crates/anvil_wire/src/outcome.rs
+++ b/crates/anvil_wire/src/outcome.rs
@@ -49,8 +49,8 @@
         #[serde(deserialize_with = "bounded::list::<_, _, MAX_ATTEMPTS>")]
         attempts: Vec<QueriedAttempt>,
     },
-    /// The sender is about to end. The receiver asks at once for what it has out there, if only to say
-    /// that it is nothing.
+    /// The sender is about to end. The receiver asks at once for what it has out there, if only to
+    /// say that it is nothing.
     Leaving {
         /// Where the sender accepts the question.
         reply_to: SocketAddr,
--- a/crates/anvil_wire/src/quota.rs
+++ b/crates/anvil_wire/src/quota.rs
@@ -1,7 +1,7 @@
 //! Messages about quotas of client accounts; see `docs/design/accounts.md`.
 //!
-//! Numbers are sums since a session began, so a message that is lost or comes twice does no harm: the
-//! next one says the same and more.
+//! Numbers are sums since a session began, so a message that is lost or comes twice does no harm:
+//! the next one says the same and more.
 
 use std::net::SocketAddr;
 
@@ -26,7 +26,8 @@
     pub spent: i32,
     /// Requests that waited for a grant.
     pub asked: u32,
-    /// Whether nodes that come before the receiver did not answer, so that it has to stand in for them.
+    /// Whether nodes that come before the receiver did not answer, so that it has to stand in for
+    /// them.
     pub failover: bool,
 }
 
@@ -74,7 +75,8 @@
     pub account: account::AccountId,
     /// Counts the sender's handovers, so that one which comes twice is taken once.
     pub number: u32,
-    /// Requests let in, less those given back, by slices of a quarter of a second, the newest first.
+    /// Requests let in, less those given back, by slices of a quarter of a second, the newest
+    /// first.
     #[serde(deserialize_with = "bounded::list::<_, _, MAX_SLICES>")]
     pub slices: Vec<i32>,
 }
@@ -96,7 +98,8 @@
     },
     /// From a node to the next one on its ring, which may not have heard of it yet.
     SuccessorProbe,
-    /// The answer, where the receiver of [`QuotaMessage::SuccessorProbe`] knows a node that stands nearer.
+    /// The answer, where the receiver of [`QuotaMessage::SuccessorProbe`] knows a node that stands
+    /// nearer.
     CloserSuccessor(HomeHint),
     /// From a node that counted an account to its home.
     Handover(UsageHandover),
--- a/crates/anvil_wire/tests/compression.rs
+++ b/crates/anvil_wire/tests/compression.rs
@@ -69,8 +69,8 @@
     codec::decode_frame(&plain).expect("a frame")
 }
 
-// Calls of one route follow each other. From the second on, each crosses in less than half of its bytes:
-// what is left are its ids, which are like no others.
+// Calls of one route follow each other. From the second on, each crosses in less than half of its
+// bytes: what is left are its ids, which are like no others.
 #[test]
 fn calls_of_one_route_cross_in_less_than_half() {
     let (mut packer, mut unpacker) = Default::default();
