--- a/crates/anvil_wire/benches/seal.rs
+++ b/crates/anvil_wire/benches/seal.rs
@@ -1,4 +1,4 @@
-//! What authentication costs; figures in `docs/design/peer-authentication.md`.
+//! Benchmarks of the authentication; for results see `docs/design/peer-authentication.md`.
 
 use std::sync::Arc;
 
@@ -6,7 +6,7 @@
 use anvil_wire::seal::{datagram, handshake, ring, stream};
 use anvil_wire::{codec, frame};
 
-const SIZES: [usize; 4] = [256, 2_048, 65_536, 1_048_576];
+const FRAME_BYTES: [usize; 4] = [256, 2_048, 65_536, 1_048_576];
 
 const DATAGRAM_BYTES: usize = 500;
 
@@ -35,9 +35,12 @@
     let answered = handshake::ResponderHandshake::begin(&keys(), &hello(2), nonce, first);
     let (responder, second) = answered.expect("a challenge");
     let finished = initiator.finish(&second[codec::LENGTH_BYTES..], None);
-    let (initiator, third) = finished.expect("proved");
+    let (initiator, third) = finished.expect("the responder is authenticated");
     let responder = responder.finish(&third[codec::LENGTH_BYTES..]);
-    (initiator, responder.expect("proved"))
+    (
+        initiator,
+        responder.expect("the initiator is authenticated"),
+    )
 }
 
 #[divan::bench]
@@ -45,7 +48,7 @@
     connect()
 }
 
-#[divan::bench(args = SIZES)]
+#[divan::bench(args = FRAME_BYTES)]
 fn seal_frame(bencher: divan::Bencher<'_, '_>, size: usize) {
     let (mut initiator, _) = connect();
     let counter = divan::counter::BytesCount::new(size);
@@ -67,6 +70,6 @@
     let mut opener = datagram::DatagramOpener::new(ring, address);
     bencher.bench_local(|| {
         let bytes = sealer.seal(address, &[7; DATAGRAM_BYTES]).expect("fits");
-        opener.open(&bytes).expect("right").payload.len()
+        opener.open(&bytes).expect("a valid datagram").payload.len()
     });
 }
--- a/crates/anvil_wire/src/call.rs
+++ b/crates/anvil_wire/src/call.rs
@@ -1,4 +1,4 @@
-//! Requests and answers as they cross nodes, whole.
+//! Requests and answers between nodes; bodies are complete, never streamed.
 
 use anvil_types::{context, ident, name, treatment, verdict};
 use bytes::Bytes;
@@ -6,10 +6,10 @@
 
 use crate::{bounded, outcome};
 
-/// Most header lines of one request or answer that a node takes from another.
+/// Maximum number of header lines that a node accepts in a request or answer from a peer.
 pub const MAX_HEADER_LINES: usize = 1_024;
 
-/// One header line; the name is lower case.
+/// One header line.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct HeaderLine {
     /// Field name, lower case.
@@ -21,7 +21,7 @@
 /// A request as its caller sent it, without hop-by-hop headers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallRequest {
-    /// The service asked for.
+    /// The requested service.
     pub service: name::ServiceName,
     /// HTTP method, as sent.
     pub method: String,
@@ -30,11 +30,11 @@
     /// End-to-end headers, in order; at most [`MAX_HEADER_LINES`].
     #[serde(deserialize_with = "bounded::list::<_, _, MAX_HEADER_LINES>")]
     pub headers: Vec<HeaderLine>,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
 }
 
-/// A whole answer of a target, without hop-by-hop headers.
+/// A complete answer of a target, without hop-by-hop headers.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct CallAnswer {
     /// HTTP status.
@@ -42,13 +42,13 @@
     /// End-to-end headers, in order; at most [`MAX_HEADER_LINES`].
     #[serde(deserialize_with = "bounded::list::<_, _, MAX_HEADER_LINES>")]
     pub headers: Vec<HeaderLine>,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
 }
 
-/// The lowest request, by class and lane, that a service admits at present.
+/// The lowest priority, by class and lane, that a service currently admits.
 ///
-/// See `docs/design/shedding.md`; the entry nodes refuse below it before any work is spent.
+/// Entry nodes refuse requests below it before any work is done; see `docs/design/shedding.md`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct CutLine {
     /// Classes below this one are refused.
@@ -57,54 +57,54 @@
     pub lane: context::LaneHash,
 }
 
-/// What the target's node tells about itself on each answer.
+/// Load information that a target's node attaches to each answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Requests running at the target.
+    /// Number of requests running at the target.
     pub running: u32,
-    /// Requests queued at its node by class, from the lowest; a request waits only for those of
-    /// its own class and above.
+    /// Number of requests queued at its node, by class from the lowest; a request waits only for
+    /// those of its own class and above.
     pub queued: [u16; context::PriorityClass::ALL.len()],
-    /// Requests that may run at once at present.
+    /// Current concurrency limit.
     pub limit: u32,
-    /// Usual time of a run, in microseconds; zero before the first.
+    /// Typical duration of a run, in microseconds; zero before the first run.
     pub usual_micros: u32,
-    /// The cut line in force, where the target is under pressure.
+    /// The current cut line, if the target is overloaded.
     pub cut: Option<CutLine>,
-    /// The highest cut line among the services that requests like the one answered need below.
+    /// The highest cut line among the downstream services that requests of this kind call.
     pub deep: Option<CutLine>,
-    /// Whether the node or its target is leaving.
+    /// Whether the node or its target is shutting down.
     pub leaving: bool,
-    /// The node's latest announcement to the fleet when it made this report, so that one that
-    /// arrives behind a later announcement is known for old.
+    /// Number of the node's latest announcement to the fleet when the report was made, so that a
+    /// report that arrives after a later announcement is recognised as stale.
     pub announced: u32,
 }
 
 /// A call from one node to the node beside the chosen target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerCall {
-    /// Identity of the call; one call may see several attempts.
+    /// Identifies the call; one call may have several attempts.
     pub call: ident::CallId,
-    /// Counts the attempts of the call from one.
+    /// Number of the attempt within the call, from one.
     pub attempt: u16,
-    /// Where the sender accepts the answer.
+    /// Address at which the sender accepts the answer.
     pub reply_to: std::net::SocketAddr,
-    /// The context, with the time left at sending.
+    /// The call context, with the remaining time at sending.
     pub context: context::CallContext,
-    /// What the entry node's rules decided.
+    /// The settings that the entry node's rules gave.
     pub treatment: treatment::RuleTreatment,
-    /// Which rule decided.
+    /// The rule that gave them.
     pub rule: treatment::RuleReference,
-    /// The client account that the root request is sent for, which the target is told.
+    /// The client account of the root request; it is passed on to the target.
     pub account: Option<name::AccountName>,
-    /// The caller's own id of the request, where it named one.
+    /// The caller's own id of the request, if it sent one.
     pub label: Option<ident::RequestLabel>,
-    /// The request itself.
+    /// The request.
     pub request: CallRequest,
 }
 
 impl PeerCall {
-    /// Which attempt it is.
+    /// Identifies the attempt.
     pub fn attempt_id(&self) -> outcome::AttemptId {
         outcome::AttemptId {
             call: self.call,
@@ -113,28 +113,28 @@
     }
 }
 
-/// The end of one attempt.
+/// The result of one attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerAnswer {
-    /// The call answered.
+    /// The call.
     pub call: ident::CallId,
-    /// The attempt answered.
+    /// Number of the attempt within the call.
     pub attempt: u16,
     /// Whether the request ran.
     pub verdict: verdict::CallVerdict,
-    /// The whole answer where there is one.
+    /// The complete answer, if there is one.
     pub answer: Option<CallAnswer>,
-    /// Retries spent below this call, so that the root's sum stays exact.
+    /// Retries spent by the calls below this one, so that the root's total stays exact.
     pub retries_spent: u16,
-    /// Whether a call that the target made for this request failed: its own failure is then no sign
-    /// that others of its service do better.
+    /// Whether a call that the target made for this request failed. The target's own failure then
+    /// doesn't suggest that another target of the service would succeed.
     pub failed_below: bool,
-    /// Load of the answering node's target.
+    /// Load of the node that ran the attempt and of its target.
     pub load: LoadReport,
 }
 
 impl PeerAnswer {
-    /// The attempt that it answers.
+    /// Identifies the attempt.
     pub fn attempt_id(&self) -> outcome::AttemptId {
         outcome::AttemptId {
             call: self.call,
--- a/crates/anvil_wire/src/codec.rs
+++ b/crates/anvil_wire/src/codec.rs
@@ -4,36 +4,36 @@
 
 use crate::frame;
 
-/// Largest body of a request or an answer, in bytes; see `docs/OPERATIONS.md`.
+/// Maximum size of the body of a request or answer, in bytes; see `docs/OPERATIONS.md`.
 pub const MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
 
-/// Largest encoded frame, in bytes: a body at its limit, its headers and the context.
+/// Maximum size of an encoded frame, in bytes: a body of maximum size, its headers and the context.
 pub const MAX_FRAME_BYTES: usize = MAX_BODY_BYTES + 256 * 1024;
 
-/// Bytes of the length that precedes each frame, big-endian.
+/// Size of the big-endian length prefix of each frame, in bytes.
 pub const LENGTH_BYTES: usize = 4;
 
-/// Why a frame was refused.
+/// Why a frame was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error)]
 pub enum FrameError {
-    /// The length is above [`MAX_FRAME_BYTES`].
+    /// The frame is longer than [`MAX_FRAME_BYTES`], or longer than a compressed frame may be.
     #[display("a frame of {length} bytes is above the limit")]
     Oversized {
-        /// The length announced.
+        /// The length of the frame, in bytes.
         length: usize,
     },
-    /// The bytes are no frame of this version.
-    #[display("the bytes are no frame: {reason}")]
+    /// The bytes are not a frame of this protocol version.
+    #[display("the bytes are not a valid frame: {reason}")]
     Malformed {
-        /// What the decoder said.
+        /// The decoder's error.
         #[error(not(source))]
         reason: String,
     },
 }
 
-/// Encodes one frame with its length in front.
+/// Encodes a frame with its length prefix.
 ///
-/// Fails where the frame is above [`MAX_FRAME_BYTES`].
+/// Fails if the frame is longer than [`MAX_FRAME_BYTES`].
 pub fn encode_frame(frame: &frame::PeerFrame) -> Result<Vec<u8>, FrameError> {
     let bytes = postcard::to_extend(frame, vec![0; LENGTH_BYTES]);
     let mut bytes = bytes.map_err(|error| malformed(&error))?;
@@ -46,7 +46,7 @@
     Ok(bytes)
 }
 
-/// Checks the length in front of a frame, so that no peer makes a node reserve more.
+/// Decodes and checks a length prefix, so that no peer can make a node allocate more than a frame.
 pub fn check_length(prefix: [u8; LENGTH_BYTES]) -> Result<usize, FrameError> {
     let length = u32::from_be_bytes(prefix) as usize;
     if length > MAX_FRAME_BYTES {
@@ -55,11 +55,11 @@
     Ok(length)
 }
 
-/// Decodes the bytes behind a length; trailing bytes are an error.
+/// Decodes the bytes after a length prefix; trailing bytes are an error.
 pub fn decode_frame(bytes: &[u8]) -> Result<frame::PeerFrame, FrameError> {
     let (frame, rest) = postcard::take_from_bytes(bytes).map_err(|error| malformed(&error))?;
     if !rest.is_empty() {
-        let reason = format!("{} bytes behind its end", rest.len());
+        let reason = format!("{} trailing bytes", rest.len());
         return Err(FrameError::Malformed { reason });
     }
     Ok(frame)
--- a/crates/anvil_wire/src/frame.rs
+++ b/crates/anvil_wire/src/frame.rs
@@ -5,17 +5,17 @@
 
 use crate::{call, gossip, key, outcome, suspicion};
 
-/// The version of the protocol; nodes of different versions refuse each other's handshake.
+/// The protocol version; nodes of different versions reject each other's handshake.
 pub const PROTOCOL_VERSION: u16 = 7;
 
 /// The first frame in each direction of a connection.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerHello {
-    /// Always [`PROTOCOL_VERSION`] of the sender.
+    /// The sender's [`PROTOCOL_VERSION`].
     pub version: u16,
     /// The sender.
     pub node: ident::NodeId,
-    /// Where the sender accepts peer connections.
+    /// Address at which the sender accepts peer connections.
     pub address: std::net::SocketAddr,
 }
 
@@ -24,24 +24,24 @@
 pub enum PeerFrame {
     /// Run a call at the receiver's target.
     Call(Box<call::PeerCall>),
-    /// The end of an attempt.
+    /// The result of an attempt.
     Answer(Box<call::PeerAnswer>),
-    /// The caller stopped waiting for an attempt.
+    /// Cancels an attempt that the caller no longer waits for.
     Cancel {
-        /// The call to stop.
+        /// The call to cancel.
         call: ident::CallId,
-        /// The attempt to stop.
+        /// The attempt to cancel.
         attempt: u16,
     },
-    /// Between the owners of idempotency keys.
+    /// A message to or between owners of idempotency keys.
     Key(Box<key::KeyFrame>),
-    /// A target crashed, and these requests were running.
+    /// Reports that a target crashed and which of its running requests are suspected.
     Suspicion(Box<suspicion::SuspicionNotice>),
-    /// Membership and rules in bulk.
+    /// A bulk transfer of membership or rules.
     Sync(Box<gossip::SyncMessage>),
-    /// What became of attempts whose connection ended.
+    /// A query or report about attempts whose connection ended.
     Outcome(Box<outcome::OutcomeMessage>),
-    /// Asks for a [`PeerFrame::Pong`], since answers are due and nothing came for a while.
+    /// Requests a [`PeerFrame::Pong`]; sent if answers are due and nothing arrived for a while.
     Ping,
     /// Answers a [`PeerFrame::Ping`].
     Pong,
--- a/crates/anvil_wire/src/gossip.rs
+++ b/crates/anvil_wire/src/gossip.rs
@@ -8,85 +8,87 @@
 
 use crate::{bounded, quota, shutdown};
 
-/// Most claims on a datagram.
+/// Maximum number of membership updates in a datagram.
 pub const MAX_DATAGRAM_UPDATES: usize = 128;
 
-/// Most claims in a bulk message, about 80 kB of them.
+/// Maximum number of membership updates in a bulk message; they take about 80 kB.
 pub const MAX_BULK_UPDATES: usize = 1_000;
 
-/// Most sums in a digest.
+/// Maximum number of bucket checksums in a digest.
 pub const MAX_DIGEST_BUCKETS: usize = 2_048;
 
-/// Most members that a bulk message names in short; four times the largest fleet foreseen.
+/// Maximum number of member headers or ids in a bulk message; four times the largest expected
+/// fleet.
 pub const MAX_MEMBER_HEADERS: usize = 65_536;
 
-/// Most changes in a message.
+/// Maximum number of rule changes in a message.
 pub const MAX_CHANGES: usize = 1_024;
 
-/// Most lagging members named in a census.
+/// Maximum number of lagging members listed in a census.
 pub const MAX_LAGGING_MEMBERS: usize = 8;
 
-/// What a node tells about itself; the others keep it as told.
+/// A node's description of itself; other nodes store it unchanged.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberFacts {
-    /// Where the node accepts peer connections.
+    /// Address at which the node accepts peer connections.
     pub tcp: SocketAddr,
-    /// Where the node accepts datagrams.
+    /// Address at which the node accepts datagrams.
     pub udp: SocketAddr,
-    /// The availability zone it stands in.
+    /// The availability zone of the node.
     pub zone: name::ZoneName,
-    /// The region it stands in.
+    /// The region of the node.
     pub region: name::RegionName,
-    /// The service of the local target, where one announced itself.
+    /// The service of the local target, if a target has announced itself.
     pub service: Option<name::ServiceName>,
-    /// Requests that the local target runs at once.
+    /// Number of requests that the local target runs concurrently.
     pub slots: u32,
-    /// Whether the node or its target is leaving.
+    /// Whether the node or its target is shutting down.
     pub leaving: bool,
-    /// The contact slot of its zone that it holds in the store, where it holds one.
+    /// The contact slot of its zone that the node holds in the store, if any.
     pub contact: Option<u8>,
 }
 
-/// How a member stands, in the order in which claims of one incarnation override each other.
+/// Status of a member. Among updates of the same incarnation, a later variant overrides an earlier
+/// one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MemberStatus {
-    /// Alive, with the facts of this incarnation.
+    /// The member is alive, with the facts of this incarnation.
     Alive(Box<MemberFacts>),
-    /// Did not answer `by`'s probe; it has some seconds to refute.
+    /// The member did not answer a probe of `by`; it has a few seconds to refute the suspicion.
     Suspect {
         /// The node whose probe failed.
         by: ident::NodeId,
     },
-    /// Did not refute a suspicion.
+    /// The member did not refute a suspicion in time.
     Dead,
-    /// Said that it left.
+    /// The member announced that it left.
     Left,
 }
 
-/// One claim about one member.
+/// A statement about the status of one member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberUpdate {
     /// The member.
     pub node: ident::NodeId,
-    /// The member's own counter of its claims; only the member raises it.
+    /// Incarnation of the member that the statement is about; only the member increments it.
     pub incarnation: u32,
-    /// The claim.
+    /// The status of the member.
     pub status: MemberStatus,
 }
 
-/// One member in short, to find what two nodes know differently.
+/// Short form of a member, used to find differences between two nodes' member tables.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberHeader {
     /// The member.
     pub node: ident::NodeId,
-    /// Its incarnation as known.
+    /// The incarnation that the sender knows.
     pub incarnation: u32,
 }
 
-/// One accepted change of the rules as the store's log holds it.
+/// An accepted change of the rules, as stored in the store's log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoggedChange {
-    /// The revision that the change made.
+    /// The revision that the change created.
     pub revision: ident::RuleRevision,
     /// The operator's own id of the change.
     pub change: u128,
@@ -94,7 +96,7 @@
     pub body: Bytes,
 }
 
-/// The start of each datagram and bulk message.
+/// Header of each datagram and bulk message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GossipHead {
     /// The sender.
@@ -103,118 +105,120 @@
     pub incarnation: u32,
     /// The rule revision that the sender has in force.
     pub revision: ident::RuleRevision,
-    /// Whether the sender has compared its rules with others or with the store.
+    /// Whether the sender has compared its rules with those of other nodes or of the store.
     pub ready: bool,
 }
 
-/// What a datagram is for.
+/// Purpose and payload of a datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GossipKind {
-    /// A newcomer, which knows only the address, asks for a few members.
+    /// Requests a few members; sent by a joining node, which knows only the receiver's address.
     Join,
-    /// Answers a join with the sender and members drawn at random, so that newcomers spread over
-    /// the fleet.
+    /// Answers a join with the sender itself and randomly selected members, so that joining nodes
+    /// spread their requests over the fleet.
     Welcome,
-    /// Asks `to` for an [`GossipKind::Ack`].
+    /// Requests a [`GossipKind::Ack`] from `to`.
     Ping {
-        /// Counts the sender's probes.
+        /// Number of the probe at the sender.
         probe: u32,
-        /// The node that the sender expects at the address.
+        /// The node that the sender expects at the receiver's address.
         to: ident::NodeId,
     },
-    /// Answers a ping, directly or through a helper.
+    /// Answers a ping, directly or relayed by a helper.
     Ack {
-        /// The probe answered.
+        /// The probe that is answered.
         probe: u32,
         /// The node that answered.
         of: ident::NodeId,
     },
-    /// A helper got no answer in time, so the asker's own connection is not at fault.
+    /// Reports that a helper got no answer in time either, so that the requester's own connection
+    /// is not at fault.
     Nack {
         /// The probe that failed.
         probe: u32,
     },
-    /// Asks a helper to ping `target`.
+    /// Requests that a helper pings `target`.
     PingRequest {
-        /// The asker's probe.
+        /// The requester's probe.
         probe: u32,
-        /// Whom to ping; the helper knows the address.
+        /// The node to ping; the helper knows its address.
         target: ident::NodeId,
     },
-    /// Carries updates only, sent at once when something changed.
+    /// Carries only updates; sent immediately after a change.
     Rumour,
-    /// The receiver is unknown to the sender and should tell its facts.
+    /// Requests the receiver's facts, because the sender doesn't know the receiver.
     FactsRequest,
-    /// Asks for the accepted changes behind `after`.
+    /// Requests the accepted changes after revision `after`.
     PullChanges {
-        /// The revision that the asker holds.
+        /// The revision that the requester has.
         after: ident::RuleRevision,
     },
-    /// Accepted changes that fit a datagram, in order.
+    /// Accepted changes that fit into a datagram, in order.
     Changes {
         /// The changes.
         #[serde(deserialize_with = "bounded::list::<_, _, MAX_CHANGES>")]
         changes: Vec<LoggedChange>,
     },
-    /// The store's history was cut, as the sender's watch shows; a receiver that holds a contact
-    /// slot looks whether its lease still runs.
+    /// Reports that the store's history was truncated, as the sender's watch found. A receiver that
+    /// holds a contact slot checks that its lease is still valid.
     CheckContactLease,
-    /// A question or reply about who has a revision in force.
+    /// A query or reply about which members have a revision in force.
     Census(CensusMessage),
-    /// Between entry nodes and homes of client accounts; membership takes only the head of it.
+    /// A message between entry nodes and homes of client accounts; membership reads only its head.
     Quota(quota::QuotaMessage),
-    /// Between a node that stops and the others; membership takes only the head and the claims of
-    /// it.
+    /// A message of the shutdown handshake; membership reads only its head and updates.
     Shutdown(shutdown::ShutdownMessage),
 }
 
 /// One datagram between nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GossipMessage {
-    /// Who sends it.
+    /// The header, which identifies the sender.
     pub head: GossipHead,
-    /// What it is for.
+    /// Purpose and payload.
     pub kind: GossipKind,
-    /// Claims about members, a few at a time.
+    /// A few membership updates, piggybacked on the message.
     #[serde(deserialize_with = "bounded::list::<_, _, MAX_DATAGRAM_UPDATES>")]
     pub updates: Vec<MemberUpdate>,
 }
 
-/// Counts who has a revision in force, down and up a tree over the sorted node identities.
+/// A census of the members that have a revision in force.
+///
+/// Queries go down, and counts go up, a tree over the sorted node ids.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CensusMessage {
-    /// Asks the receiver to count the members from `first` to `last`, both included.
+    /// Requests a count over the members from `first` to `last`, both included.
     Query {
-        /// The asker's number of the question.
+        /// Number of the census at the requester.
         census: u32,
-        /// The revision asked about.
+        /// The revision in question.
         revision: ident::RuleRevision,
-        /// Lowest identity of the part.
+        /// Lowest node id of the range.
         first: ident::NodeId,
-        /// Highest identity of the part.
+        /// Highest node id of the range.
         last: ident::NodeId,
-        /// Time that the asker waits, in milliseconds.
+        /// Time for which the requester waits, in milliseconds.
         wait_millis: u32,
     },
-    /// What the part answered.
+    /// The count over a range.
     Reply {
-        /// The asker's number of the question.
+        /// Number of the census at the requester.
         census: u32,
-        /// The sum over the part.
+        /// The total over the range.
         count: CensusCount,
     },
 }
 
-/// A sum over a part of the fleet.
+/// Result of a census over a part of the fleet.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CensusCount {
-    /// Members that have the revision, or a later one, in force.
+    /// Number of members that have the revision, or a later one, in force.
     pub holding: u32,
-    /// Members that answered with an earlier revision.
+    /// Number of members that reported an earlier revision.
     pub behind: u32,
-    /// Members that did not answer in time.
+    /// Number of members that did not answer in time.
     pub silent: u32,
-    /// Some of the members behind or silent, a few.
+    /// A sample of the members that are behind or silent.
     #[serde(deserialize_with = "bounded::list::<_, _, MAX_LAGGING_MEMBERS>")]
     pub lagging: Vec<ident::NodeId>,
 }
@@ -222,60 +226,60 @@
 /// One bulk message between nodes, over TCP.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SyncMessage {
-    /// Sums over the members that the sender knows alive, by bucket of identities; none where a
-    /// newcomer wants them all.
+    /// Checksums over the members that are alive according to the sender, one per bucket of node
+    /// ids; empty if a joining node requests all members.
     Digest {
-        /// The sender.
+        /// The header, which identifies the sender.
         head: GossipHead,
-        /// One sum for each bucket; their number is a power of two, or zero.
+        /// One checksum per bucket; their number is a power of two, or zero.
         #[serde(deserialize_with = "bounded::list::<_, _, MAX_DIGEST_BUCKETS>")]
         sums: Vec<u32>,
-        /// What a sender that has just started says of itself, since the receiver may not have
-        /// heard of it; else empty.
+        /// The update of a sender that has just started about itself, since the receiver may not
+        /// know it yet; otherwise empty.
         #[serde(deserialize_with = "bounded::list::<_, _, MAX_DATAGRAM_UPDATES>")]
         sender: Vec<MemberUpdate>,
     },
-    /// The members alive in the buckets whose sums differed.
+    /// The live members in the buckets whose checksums differed.
     Headers {
-        /// The sender.
+        /// The header, which identifies the sender.
         head: GossipHead,
-        /// Number of buckets in all.
+        /// Total number of buckets.
         buckets: u32,
-        /// The buckets that differed.
+        /// Indices of the buckets that differed.
         #[serde(deserialize_with = "bounded::list::<_, _, MAX_DIGEST_BUCKETS>")]
         differing: Vec<u32>,
-        /// The members that the sender knows alive in them.
+        /// The members in these buckets that are alive according to the sender.
         #[serde(deserialize_with = "bounded::list::<_, _, MAX_MEMBER_HEADERS>")]
         headers: Vec<MemberHeader>,
     },
-    /// Claims that the receiver lacks, and identities whose claims the sender lacks.
+    /// Updates that the receiver lacks, and ids of members whose updates the sender lacks.
     Members {
-        /// The sender.
+        /// The header, which identifies the sender.
         head: GossipHead,
-        /// The claims.
+        /// The updates.
         #[serde(deserialize_with = "bounded::list::<_, _, MAX_BULK_UPDATES>")]
         updates: Vec<MemberUpdate>,
-        /// The identities.
+        /// The ids of the members that the sender requests.
         #[serde(deserialize_with = "bounded::list::<_, _, MAX_MEMBER_HEADERS>")]
         wanted: Vec<ident::NodeId>,
-        /// Whether the receiver knows with it all members that the sender knows alive.
+        /// Whether this message completes the transfer of the sender's live members.
         last: bool,
     },
-    /// Accepted changes too large for a datagram, in order, or a snapshot where the log that the
-    /// receiver needs has been trimmed.
+    /// Accepted changes that are too large for a datagram, in order, or a snapshot if the part of
+    /// the log that the receiver needs has been trimmed.
     Changes {
-        /// The sender.
+        /// The header, which identifies the sender.
         head: GossipHead,
-        /// The whole rules at a revision, where the changes alone don't suffice.
+        /// The complete rules at a revision, if the changes alone are not sufficient.
         snapshot: Option<LoggedChange>,
-        /// The changes behind the snapshot or behind the receiver's revision.
+        /// The changes after the snapshot or after the receiver's revision.
         #[serde(deserialize_with = "bounded::list::<_, _, MAX_CHANGES>")]
         changes: Vec<LoggedChange>,
     },
 }
 
 impl SyncMessage {
-    /// Who sends it.
+    /// The header, which identifies the sender.
     pub fn head(&self) -> GossipHead {
         match self {
             Self::Digest { head, .. }
@@ -287,59 +291,60 @@
 }
 
 impl LoggedChange {
-    /// The bytes that stand for the change in the store's log; none where it can't be encoded.
+    /// Encodes the change for the store's log; returns `None` if it can't be encoded.
     pub fn to_value(&self) -> Option<Bytes> {
         postcard::to_stdvec(self).ok().map(Bytes::from)
     }
 
-    /// Reads a value of the store's log; none where it is none of this version.
+    /// Decodes a value of the store's log; returns `None` if it is not a change of this version.
     pub fn from_value(value: &[u8]) -> Option<Self> {
         postcard::from_bytes(value).ok()
     }
 }
 
-/// A node that lets newcomers in, as its entry in the store says.
+/// A node that accepts joining nodes, as its entry in the store describes it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ContactEntry {
     /// The node.
     pub node: ident::NodeId,
-    /// Where it accepts datagrams.
+    /// Address at which it accepts datagrams.
     pub udp: SocketAddr,
 }
 
 impl ContactEntry {
-    /// The bytes that stand for the entry in the store; none where it can't be encoded.
+    /// Encodes the entry for the store; returns `None` if it can't be encoded.
     pub fn to_value(&self) -> Option<Bytes> {
         postcard::to_stdvec(self).ok().map(Bytes::from)
     }
 
-    /// Reads an entry's value; none where it is none of this version, or bytes stand behind it.
+    /// Decodes an entry's value; returns `None` if it is not an entry of this version or has
+    /// trailing bytes.
     pub fn from_value(value: &[u8]) -> Option<Self> {
         let (entry, rest) = postcard::take_from_bytes(value).ok()?;
         rest.is_empty().then_some(entry)
     }
 }
 
-/// Names the newest snapshot of the rules in the store.
+/// Describes the newest snapshot of the rules in the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotManifest {
     /// The revision of the snapshot.
     pub revision: ident::RuleRevision,
-    /// The operator's id of the last change in it.
+    /// The operator's id of the last change that it contains.
     pub change: u128,
-    /// The node that wrote it; part of the keys of its chunks.
+    /// The node that wrote it; the keys of its chunks contain the id.
     pub writer: ident::NodeId,
-    /// Number of its chunks.
+    /// Number of chunks.
     pub chunks: u32,
 }
 
 impl SnapshotManifest {
-    /// The bytes that stand for the manifest in the store; none where it can't be encoded.
+    /// Encodes the manifest for the store; returns `None` if it can't be encoded.
     pub fn to_value(&self) -> Option<Bytes> {
         postcard::to_stdvec(self).ok().map(Bytes::from)
     }
 
-    /// Reads a manifest's value; none where it is none of this version.
+    /// Decodes a manifest's value; returns `None` if it is not a manifest of this version.
     pub fn from_value(value: &[u8]) -> Option<Self> {
         postcard::from_bytes(value).ok()
     }
--- a/crates/anvil_wire/src/lib.rs
+++ b/crates/anvil_wire/src/lib.rs
@@ -1,7 +1,8 @@
 //! Messages between nodes and their codec.
 //!
-//! Calls and bulk travel as [`frame::PeerFrame`] over TCP, membership as
-//! [`gossip::GossipMessage`] over UDP. Both are `postcard`; see `docs/ARCHITECTURE.md`.
+//! Calls and bulk transfers are [`frame::PeerFrame`]s over TCP; membership messages are
+//! [`gossip::GossipMessage`]s over UDP. Both are encoded with `postcard`; see
+//! `docs/ARCHITECTURE.md`.
 
 pub mod bounded;
 pub mod call;
--- a/crates/anvil_wire/src/outcome.rs
+++ b/crates/anvil_wire/src/outcome.rs
@@ -1,4 +1,4 @@
-//! Questions about attempts whose connection ended while both nodes live on.
+//! Queries about the outcome of attempts whose connection ended while both nodes keep running.
 //!
 //! See "When a connection ends" in `docs/design/edges.md`.
 
@@ -10,10 +10,10 @@
 
 use crate::bounded;
 
-/// Most attempts that one message names; more go in several.
+/// Maximum number of attempts in one message; more are split over several messages.
 pub const MAX_ATTEMPTS: usize = 1_024;
 
-/// One attempt of one call.
+/// Identifies one attempt of a call.
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -21,44 +21,45 @@
 pub struct AttemptId {
     /// The call.
     pub call: ident::CallId,
-    /// Counts its attempts from one.
+    /// Number of the attempt within the call, from one.
     pub attempt: u16,
 }
 
-/// An attempt whose fate its entry node wants to know.
+/// An attempt whose outcome its entry node queries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QueriedAttempt {
-    /// Which attempt.
+    /// Identifies the attempt.
     pub id: AttemptId,
-    /// Time since it was sent, in microseconds; an answer about it must rest on a memory that
-    /// reaches as far back.
+    /// Time since it was sent, in microseconds. The receiver may report that it never ran only if
+    /// its records reach back as far.
     pub age_micros: u64,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub idempotent: bool,
 }
 
-/// What two nodes tell each other of the attempts that were on a connection which ended.
+/// A message between two nodes about the attempts on a connection that ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OutcomeMessage {
-    /// The entry node asks what became of attempts. Each that has ended, or never came, is answered
-    /// like any attempt; those that the target's node still has are told as held.
+    /// The entry node queries the outcome of attempts. Each attempt that has ended, or never
+    /// arrived, is answered like any other; those that are still queued or running are reported as
+    /// pending.
     Query {
-        /// Where the sender accepts the answers.
+        /// Address at which the sender accepts the answers.
         reply_to: SocketAddr,
         /// The attempts.
         #[serde(deserialize_with = "bounded::list::<_, _, MAX_ATTEMPTS>")]
         attempts: Vec<QueriedAttempt>,
     },
-    /// The sender is about to end. The receiver asks at once for what it has out there, if only to
-    /// say that it is nothing.
+    /// The sender is about to exit. The receiver immediately queries its unanswered attempts there,
+    /// and sends an empty query if it has none.
     Leaving {
-        /// Where the sender accepts the question.
+        /// Address at which the sender accepts the query.
         reply_to: SocketAddr,
     },
-    /// The target's node tells which attempts of the receiver it still has, queued or running; the
-    /// receiver cancels those that it does not wait for.
+    /// The target's node reports which attempts of the receiver are still queued or running; the
+    /// receiver cancels those that it no longer waits for.
     Pending {
-        /// Where the sender accepts the cancellations.
+        /// Address at which the sender accepts the cancellations.
         reply_to: SocketAddr,
         /// The attempts.
         #[serde(deserialize_with = "bounded::list::<_, _, MAX_ATTEMPTS>")]
--- a/crates/anvil_wire/src/quota.rs
+++ b/crates/anvil_wire/src/quota.rs
@@ -1,7 +1,7 @@
 //! Messages about quotas of client accounts; see `docs/design/accounts.md`.
 //!
-//! Numbers are sums since a session began, so a message that is lost or comes twice does no harm:
-//! the next one says the same and more.
+//! Counts are totals since the start of a session, so a lost or duplicated message does no harm:
+//! the next one contains everything that it did.
 
 use std::net::SocketAddr;
 
@@ -10,100 +10,101 @@
 
 use crate::bounded;
 
-/// Most accounts in a message; they fit a datagram.
+/// Maximum number of accounts in a message, so that it fits into a datagram.
 pub const MAX_ACCOUNTS: usize = 32;
 
-/// What an entry node has let in for one account, and what it waits for.
+/// An entry node's report on the requests of one account that it admitted or that wait for a grant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageReport {
     /// The account.
     pub account: account::AccountId,
-    /// The entry node's session with the receiver; sums start anew with each.
+    /// The entry node's session with the receiver; totals start at zero with each session.
     pub session: u32,
-    /// The term that the receiver told in this session; zero before its first word.
+    /// The term that the receiver sent in this session; zero before its first message.
     pub term: u32,
-    /// Requests let in ahead of a grant, less those that were given back.
+    /// Number of requests admitted ahead of a grant, minus those whose token was returned.
     pub spent: i32,
-    /// Requests that waited for a grant.
+    /// Number of requests that waited for a grant.
     pub asked: u32,
-    /// Whether nodes that come before the receiver did not answer, so that it has to stand in for
-    /// them.
+    /// Whether nodes before the receiver on the ring did not answer, so that it has to take over.
     pub failover: bool,
 }
 
-/// A node that counts an account, as another one knows.
+/// A node that another node believes to be the home of an account.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HomeHint {
     /// The node.
     pub node: ident::NodeId,
-    /// Where it accepts datagrams.
+    /// Address at which it accepts datagrams.
     pub address: SocketAddr,
-    /// Whether the sender has heard from it a moment ago.
+    /// Whether the sender received a message from it recently.
     pub alive: bool,
 }
 
-/// What an account's home decides for one entry node.
+/// The decision of an account's home for one entry node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageDecision {
     /// The account.
     pub account: account::AccountId,
-    /// The session of the report answered.
+    /// The session of the report that is answered.
     pub session: u32,
-    /// Rises whenever the home begins its count anew; a session ends with it.
+    /// Incremented whenever the home restarts its count; this ends the session.
     pub term: u32,
-    /// The report's sum of requests let in.
+    /// The total of admitted requests from the report.
     pub spent: i32,
-    /// The report's sum of requests that waited; all of them are decided.
+    /// The total of waiting requests from the report; all of them are decided.
     pub asked: u32,
-    /// How many of these are granted in all; the others are refused.
+    /// How many of these are granted in total; the others are refused.
     pub granted: u32,
-    /// Requests that the node may let in ahead, beyond those reported; zero where each has to ask.
+    /// Number of requests that the node may admit ahead of a grant, beyond those reported; zero if
+    /// each request needs a grant.
     pub ahead: u16,
-    /// When a refused caller does well to come back, in milliseconds.
+    /// Suggested delay before a refused caller retries, in milliseconds.
     pub retry_after_millis: u32,
-    /// Who counts the account instead; nothing was counted here then.
+    /// The home that the entry node should use instead; the report was then not counted here.
     pub redirect: Option<HomeHint>,
 }
 
-/// Most slices of time in a handover.
+/// Maximum number of time slices in a handover.
 pub const MAX_SLICES: usize = 20;
 
-/// What a node let in for an account that another node counts too, or counts now.
+/// The requests of an account that the sender admitted as its home, for another home of the
+/// account.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageHandover {
     /// The account.
     pub account: account::AccountId,
-    /// Counts the sender's handovers, so that one which comes twice is taken once.
+    /// Number of the handover at the sender, so that a duplicate is applied only once.
     pub number: u32,
-    /// Requests let in, less those given back, by slices of a quarter of a second, the newest
-    /// first.
+    /// Number of requests admitted, minus those whose token was returned, per slice of 250 ms,
+    /// newest first.
     #[serde(deserialize_with = "bounded::list::<_, _, MAX_SLICES>")]
     pub slices: Vec<i32>,
 }
 
-/// One message between an entry node and homes of accounts.
+/// A message between entry nodes and homes of accounts, or between homes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum QuotaMessage {
-    /// From an entry node.
+    /// Reports of an entry node.
     Report {
-        /// One entry for each account.
+        /// One entry per account.
         #[serde(deserialize_with = "bounded::list::<_, _, MAX_ACCOUNTS>")]
         reports: Vec<UsageReport>,
     },
-    /// From a home.
+    /// Decisions of a home.
     Decision {
-        /// One entry for each account.
+        /// One entry per account.
         #[serde(deserialize_with = "bounded::list::<_, _, MAX_ACCOUNTS>")]
         decisions: Vec<UsageDecision>,
     },
-    /// From a node to the next one on its ring, which may not have heard of it yet.
+    /// Sent to the next node on the sender's ring, which may not know the sender yet.
     SuccessorProbe,
-    /// The answer, where the receiver of [`QuotaMessage::SuccessorProbe`] knows a node that stands
-    /// nearer.
+    /// Answers a [`QuotaMessage::SuccessorProbe`] if the receiver knows a node that lies between
+    /// the two on the ring.
     CloserSuccessor(HomeHint),
-    /// From a node that counted an account to its home.
+    /// Sent by a node that counted an account to the account's home.
     Handover(UsageHandover),
-    /// From a home that has taken a handover.
+    /// Acknowledges that a home has applied a handover.
     HandoverAck {
         /// The handover's number.
         number: u32,
--- a/crates/anvil_wire/src/seal.rs
+++ b/crates/anvil_wire/src/seal.rs
@@ -1,8 +1,9 @@
-//! Messages that only a holder of a shared key can make.
+//! Authentication of messages between nodes with a shared key.
 //!
-//! Whoever reaches a node's port without a key can neither join nor change rules nor learn
-//! state. The state machines here work on bytes, with randomness handed in: the edges own the
-//! sockets. See `docs/design/peer-authentication.md`.
+//! A process that reaches a node's port without a key can neither join the fleet nor change rules
+//! nor read state. The state machines here work on bytes and receive their randomness from the
+//! caller; the edges own the sockets. Messages are authenticated, not encrypted. See
+//! `docs/design/peer-authentication.md`.
 
 use derive_more::{Display, Error};
 
@@ -14,56 +15,56 @@
 pub mod ring;
 pub mod stream;
 
-/// Bytes of a tag. Half of HMAC-SHA256's output is kept, which leaves a forger one chance in
-/// 2^128 for each message.
+/// Size of an authentication tag, in bytes: HMAC-SHA256 truncated to half its length, which leaves
+/// a forger one chance in 2^128 per message.
 pub const TAG_BYTES: usize = 16;
 
-/// Why bytes were refused. Each is worth a counter of its own.
+/// Why a message was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error)]
 pub enum SealError {
-    /// The bytes are too few, too many, or no message of this version.
-    #[display("the bytes are no message: {reason}")]
+    /// The message has too few or too many bytes, or is not of this protocol version.
+    #[display("the bytes are not a valid message: {reason}")]
     Malformed {
-        /// What the decoder said.
+        /// The decoder's error.
         #[error(not(source))]
         reason: String,
     },
-    /// The message is above its limit.
+    /// The message is longer than allowed.
     #[display("a message of {length} bytes is above the limit of {limit}")]
     Oversized {
-        /// Its length.
+        /// The length of the message, in bytes.
         length: usize,
-        /// The limit.
+        /// The maximum length, in bytes.
         limit: usize,
     },
-    /// This node doesn't hold the key that the peer used.
-    #[display("the peer uses key {id}, which this node doesn't hold")]
+    /// This node doesn't have the key that the peer used.
+    #[display("the peer uses key {id}, which this node doesn't have")]
     UnknownKey {
         /// The key.
         id: ring::KeyId,
     },
-    /// The tag doesn't fit: another secret under the same id, or bytes that were changed,
-    /// repeated, reordered, or meant for another receiver.
-    #[display("the tag doesn't fit the message")]
+    /// The tag doesn't match the message: the sender has another secret under the same key id, or
+    /// the bytes were changed, repeated, reordered, or meant for another receiver.
+    #[display("the tag doesn't match the message")]
     Forged,
-    /// The datagram was seen before, or is too old to tell.
-    #[display("the datagram was seen before, or is too old to tell")]
+    /// The datagram was received before, or is too old to tell.
+    #[display("the datagram was received before, or is too old to tell")]
     Replayed,
-    /// The peer speaks another version.
-    #[display("the peer speaks version {found}")]
+    /// The peer uses another protocol version.
+    #[display("the peer uses protocol version {found}")]
     Version {
-        /// Its version.
+        /// The peer's version.
         found: u16,
     },
     /// The peer is this node itself.
     #[display("the peer is this node itself")]
     OwnIdentity,
-    /// Another node than the expected one answers at the address.
-    #[display("node {found} answers in place of {expected}")]
+    /// A node other than the expected one answered at the address.
+    #[display("node {found} answered instead of {expected}")]
     UnexpectedPeer {
-        /// Who was expected.
+        /// The expected node.
         expected: ident::NodeId,
-        /// Who answers.
+        /// The node that answered.
         found: ident::NodeId,
     },
 }
--- a/crates/anvil_wire/src/seal/datagram.rs
+++ b/crates/anvil_wire/src/seal/datagram.rs
@@ -1,4 +1,4 @@
-//! Sealed datagrams.
+//! Authenticated datagrams.
 
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
@@ -8,22 +8,23 @@
 use super::{replay, ring};
 use crate::seal;
 
-/// The first byte of each datagram.
-const FORMAT: u8 = 1;
+/// The format version, which is the first byte of each datagram.
+const FORMAT_VERSION: u8 = 1;
 
-/// Format, key id, sender and sequence, in front of the payload.
+/// Size of the header before the payload, in bytes: format version, key id, sender and sequence.
 const HEADER_BYTES: usize = 1 + 2 + 8 + 8;
 
-/// Bytes that sealing adds to a payload.
+/// Number of bytes that sealing adds to a payload.
 pub const OVERHEAD_BYTES: usize = HEADER_BYTES + seal::TAG_BYTES;
 
-/// Largest sealed datagram, in bytes; it fits an Ethernet frame with IPv6 and UDP headers.
+/// Maximum size of a sealed datagram, in bytes; with IPv6 and UDP headers it fits into an Ethernet
+/// frame.
 pub const MAX_DATAGRAM_BYTES: usize = 1_400;
 
-/// Largest payload, in bytes.
+/// Maximum size of a payload, in bytes.
 pub const MAX_PAYLOAD_BYTES: usize = MAX_DATAGRAM_BYTES - OVERHEAD_BYTES;
 
-/// Seals the datagrams that one node sends.
+/// Seals (authenticates) the datagrams that a node sends.
 #[derive(Debug)]
 pub struct DatagramSealer {
     ring: Arc<ring::KeyRing>,
@@ -31,7 +32,7 @@
     sequence: u64,
 }
 
-/// Opens the datagrams that one node receives.
+/// Opens (verifies) the datagrams that a node receives.
 #[derive(Debug)]
 pub struct DatagramOpener {
     ring: Arc<ring::KeyRing>,
@@ -39,17 +40,17 @@
     guard: replay::ReplayGuard,
 }
 
-/// A datagram whose sender holds a key.
+/// A datagram with a valid tag.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OpenedDatagram<'a> {
-    /// Who sent it, as the key holder says.
+    /// The sender, as claimed by a holder of the key.
     pub sender: ident::NodeId,
-    /// What it says.
+    /// The payload.
     pub payload: &'a [u8],
 }
 
 impl DatagramSealer {
-    /// Starts the sequence of a node whose identity is new with this process.
+    /// Starts the sequence of a node whose id was generated for this process.
     pub const fn new(ring: Arc<ring::KeyRing>, node: ident::NodeId) -> Self {
         Self {
             ring,
@@ -60,7 +61,7 @@
 
     /// Seals `payload` for the node at `to`.
     ///
-    /// Fails where the payload is above [`MAX_PAYLOAD_BYTES`].
+    /// Fails if the payload is longer than [`MAX_PAYLOAD_BYTES`].
     pub fn seal(&mut self, to: SocketAddr, payload: &[u8]) -> Result<Vec<u8>, seal::SealError> {
         if payload.len() > MAX_PAYLOAD_BYTES {
             return Err(seal::SealError::Oversized {
@@ -71,7 +72,7 @@
         self.sequence += 1;
         let key = self.ring.sending_key();
         let mut bytes = Vec::with_capacity(OVERHEAD_BYTES + payload.len());
-        bytes.push(FORMAT);
+        bytes.push(FORMAT_VERSION);
         bytes.extend_from_slice(&key.id().0.to_be_bytes());
         bytes.extend_from_slice(&self.node.0.to_be_bytes());
         bytes.extend_from_slice(&self.sequence.to_be_bytes());
@@ -85,8 +86,8 @@
 impl DatagramOpener {
     /// Opens datagrams for the node whose peers send to `address`.
     ///
-    /// The tag covers the receiver's address, so a datagram recorded on its way to one node is
-    /// worth nothing at another, which never saw its sequence.
+    /// The tag covers the receiver's address. Otherwise a datagram that was recorded on its way to
+    /// one node would be accepted by another, which has not seen its sequence.
     pub fn new(ring: Arc<ring::KeyRing>, address: SocketAddr) -> Self {
         Self {
             ring,
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Checks a datagram; nothing is allocated before its tag is known to fit.
+    /// Verifies a datagram; nothing is allocated before its tag is verified.
     pub fn open<'a>(&mut self, bytes: &'a [u8]) -> Result<OpenedDatagram<'a>, seal::SealError> {
         if bytes.len() > MAX_DATAGRAM_BYTES {
             return Err(seal::SealError::Oversized {
@@ -118,7 +119,7 @@
         })
     }
 
-    /// Forgets a sender that is gone for good.
+    /// Forgets a sender that has permanently left the fleet.
     pub fn forget(&mut self, sender: ident::NodeId) {
         self.guard.forget(sender);
     }
@@ -135,7 +136,7 @@
         let Some((format, rest)) = bytes.split_first() else {
             return Err(seal::SealError::short("the datagram"));
         };
-        if *format != FORMAT {
+        if *format != FORMAT_VERSION {
             let found = u16::from(*format);
             return Err(seal::SealError::Version { found });
         }
@@ -153,8 +154,8 @@
     }
 }
 
-/// An address in one form: an IPv4 address counts as the IPv6 address that maps it, because a
-/// socket of either family may report the peer.
+/// Encodes an address in canonical form: an IPv4 address is mapped to IPv6, because a socket of
+/// either family may report the peer.
 fn address_bytes(address: SocketAddr) -> [u8; 18] {
     let ip = match address.ip() {
         IpAddr::V4(ip) => ip.to_ipv6_mapped(),
--- a/crates/anvil_wire/src/seal/handshake.rs
+++ b/crates/anvil_wire/src/seal/handshake.rs
@@ -1,12 +1,12 @@
-//! Both ends of a new connection prove that they hold a key.
+//! The handshake in which both ends of a new connection prove that they hold a key.
 //!
-//! The initiator sends a hello with a fresh nonce, the responder answers with a nonce of its own
-//! and a tag over both, the initiator proves itself by a tag over all of it. Each tag names its
-//! role, so no end's message can be sent back to it. Both sides then derive one key for each
-//! direction; see [`super::stream`].
+//! The initiator sends a hello with a fresh nonce; the responder answers with its own nonce and a
+//! tag over both; the initiator proves its identity with a tag over the whole exchange. Each tag
+//! covers the role of its sender, so a message can't be reflected to its sender. Both ends then
+//! derive one key per direction; see [`super::stream`].
 //!
-//! Messages leave with a length of [`crate::codec::LENGTH_BYTES`] in front, and come in without
-//! it, after [`check_length`].
+//! Outgoing messages have a length prefix of [`crate::codec::LENGTH_BYTES`]; incoming messages are
+//! passed in without it, after [`check_length`].
 
 use serde::{Deserialize, Serialize};
 
@@ -15,10 +15,11 @@
 use super::{ring, stream};
 use crate::{codec, frame, seal};
 
-/// Largest message, in bytes, so that a stranger can't make a node reserve a frame's worth.
+/// Maximum size of a handshake message, in bytes, so that an unauthenticated peer can't make a node
+/// allocate the size of a frame.
 pub const MAX_MESSAGE_BYTES: usize = 256;
 
-/// Bytes of a nonce.
+/// Size of a nonce, in bytes.
 pub const NONCE_BYTES: usize = 32;
 
 const RESPONDER_ROLE: &[u8] = b"responder";
@@ -26,9 +27,9 @@
 const FORWARD_PURPOSE: &[u8] = b"initiator to responder";
 const BACKWARD_PURPOSE: &[u8] = b"responder to initiator";
 
-/// Randomness that never comes twice; two random UUIDs will do.
+/// A random value that is used only once, such as two random UUIDs.
 ///
-/// A nonce that came twice would let a recorded connection be played back.
+/// A repeated nonce would allow an attacker to replay a recorded connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HandshakeNonce(pub [u8; NONCE_BYTES]);
 
@@ -51,23 +52,23 @@
     tag: ring::Tag,
 }
 
-/// The end that opened the connection, while it waits for the challenge.
+/// State of the end that opened the connection, while it waits for the challenge.
 #[derive(Debug)]
 pub struct InitiatorHandshake {
     key: ring::SealKey,
     own: frame::PeerHello,
-    /// The hello as sent.
+    /// The hello as sent, without its length prefix.
     sent: Vec<u8>,
 }
 
-/// The end that accepted the connection, while it waits for the proof.
+/// State of the end that accepted the connection, while it waits for the proof.
 #[derive(Debug)]
 pub struct ResponderHandshake {
     peer: frame::PeerHello,
     keys: SessionKeys,
 }
 
-/// Checks the length in front of a message.
+/// Decodes and checks the length prefix of a message.
 pub fn check_length(prefix: [u8; codec::LENGTH_BYTES]) -> Result<usize, seal::SealError> {
     let length = u32::from_be_bytes(prefix) as usize;
     if length > MAX_MESSAGE_BYTES {
@@ -78,7 +79,7 @@
 }
 
 impl InitiatorHandshake {
-    /// Starts a handshake; the bytes are the first to send.
+    /// Starts a handshake; the returned bytes are the first to send.
     pub fn begin(
         ring: &ring::KeyRing,
         own: frame::PeerHello,
@@ -95,10 +96,10 @@
         Ok((Self { key, own, sent }, bytes))
     }
 
-    /// Checks the responder; the bytes are to be sent before any frame.
+    /// Verifies the responder; the returned bytes must be sent before any frame.
     ///
-    /// `expected` names the node that the connection is meant for, where that is known: another
-    /// one at the same address would otherwise be handed its calls.
+    /// `expected` is the node that the connection is meant for, if known. Without this check,
+    /// another node at the same address would receive calls meant for the expected one.
     pub fn finish(
         self,
         bytes: &[u8],
@@ -120,10 +121,10 @@
 }
 
 impl ResponderHandshake {
-    /// Answers a hello; the bytes are to be sent back.
+    /// Answers a hello; the returned bytes must be sent back.
     ///
-    /// The initiator has proved nothing yet, so the answer tells it no more than this node's
-    /// identity and address.
+    /// The initiator is not authenticated yet, so the answer reveals only this node's id and
+    /// address.
     pub fn begin(
         ring: &ring::KeyRing,
         own: &frame::PeerHello,
@@ -144,7 +145,7 @@
         Ok((Self { peer, keys }, encode(&challenge)?))
     }
 
-    /// Checks the initiator.
+    /// Verifies the initiator.
     pub fn finish(self, bytes: &[u8]) -> Result<stream::SealedStream, seal::SealError> {
         let message: ProofMessage = decode(bytes)?;
         self.keys.verify(INITIATOR_ROLE, &message.tag)?;
@@ -163,14 +164,14 @@
     Ok(())
 }
 
-/// What both ends derive from the key and everything said so far.
+/// The session secret that both ends derive from the key and the messages so far.
 #[derive(Debug)]
 struct SessionKeys {
     maker: ring::TagMaker,
 }
 
 impl SessionKeys {
-    /// Both nonces are part of it, so no two connections ever share a session.
+    /// The derivation covers both nonces, so no two connections share a session secret.
     fn derive(
         key: &ring::SealKey,
         hello: &[u8],
@@ -224,7 +225,7 @@
         let limit = MAX_MESSAGE_BYTES;
         return Err(seal::SealError::Oversized { length, limit });
     }
-    // The limit is far below what four bytes can tell.
+    // The maximum message size is far below `u32::MAX`.
     let prefix = u32::try_from(length).unwrap_or(u32::MAX);
     bytes[..codec::LENGTH_BYTES].copy_from_slice(&prefix.to_be_bytes());
     Ok(bytes)
@@ -238,7 +239,7 @@
     let (message, rest) = taken.map_err(|error| seal::SealError::malformed(&error))?;
     if !rest.is_empty() {
         return Err(seal::SealError::Malformed {
-            reason: format!("{} bytes behind its end", rest.len()),
+            reason: format!("{} trailing bytes", rest.len()),
         });
     }
     Ok(message)
--- a/crates/anvil_wire/src/seal/replay.rs
+++ b/crates/anvil_wire/src/seal/replay.rs
@@ -1,43 +1,45 @@
-//! Which datagrams of which sender were seen.
+//! Protection against replayed datagrams.
 
 use anvil_types::{ident, sorted};
 
-/// Datagrams of one sender that may arrive out of order and still be accepted.
+/// Size of the replay window: how far behind the highest sequence a datagram may arrive and still
+/// be accepted.
 pub const WINDOW_DATAGRAMS: u64 = 64;
 
-/// Senders remembered, about twice the members of the largest fleet; 32 bytes each.
+/// Maximum number of tracked senders, about twice the members of the largest fleet; 32 bytes each.
 pub const MAX_SENDERS: usize = 32_768;
 
-/// What was seen of one sender.
+/// The replay window of one sender.
 #[derive(Clone, Copy, Debug)]
 struct SenderWindow {
-    /// The highest sequence seen.
+    /// The highest sequence received.
     highest: u64,
-    /// Bit `n` tells whether `highest - n` was seen.
-    seen: u64,
-    /// The count of datagrams when it was last heard.
-    heard: u64,
+    /// Bit `n` is set if sequence `highest - n` was received.
+    received: u64,
+    /// The value of [`ReplayGuard::checked`] at the sender's latest datagram.
+    last_used: u64,
 }
 
-/// Accepts each datagram once.
+/// Accepts each datagram only once.
 ///
-/// Without it, whoever records datagrams could send an old one again, and a node that left would
-/// seem to live. Only senders with a key get an entry, so the limit is reached by real nodes alone,
-/// most of them gone after days of restarts; the one silent for longest then gives way, because
-/// old datagrams of a node that is gone say nothing that its peers still believe.
+/// Without it, an attacker could record datagrams and send an old one again, so that a node that
+/// has left would appear to be alive. Only authenticated senders get an entry, so the maximum can
+/// be reached only through days of restarts, when most entries belong to former nodes. The sender
+/// that has been silent for longest is then evicted; replayed datagrams of a former node are
+/// harmless, because its peers no longer accept what they contain.
 #[derive(Clone, Debug, Default)]
 pub struct ReplayGuard {
-    /// Datagrams asked about so far.
-    asked: u64,
+    /// Number of datagrams checked so far.
+    checked: u64,
     windows: sorted::SortedTable<ident::NodeId, SenderWindow>,
 }
 
 impl ReplayGuard {
-    /// Tells whether a datagram is new, and remembers it.
+    /// Returns whether a datagram is new, and records it.
     pub fn accept(&mut self, sender: ident::NodeId, sequence: u64) -> bool {
-        self.asked += 1;
+        self.checked += 1;
         if let Some(window) = self.windows.get_mut(sender) {
-            window.heard = self.asked;
+            window.last_used = self.checked;
             return window.accept(sequence);
         }
         if self.windows.len() >= MAX_SENDERS {
@@ -45,32 +47,32 @@
         }
         let window = SenderWindow {
             highest: sequence,
-            seen: 1,
-            heard: self.asked,
+            received: 1,
+            last_used: self.checked,
         };
         self.windows.insert(sender, window);
         true
     }
 
-    /// Forgets a sender that is gone for good; its datagrams would count as new again.
+    /// Forgets a sender that has permanently left; its datagrams would be accepted as new again.
     pub fn forget(&mut self, sender: ident::NodeId) {
         self.windows.remove(sender);
     }
 
-    /// The number of senders remembered.
+    /// Number of tracked senders.
     pub fn len(&self) -> usize {
         self.windows.len()
     }
 
-    /// Whether no sender is remembered.
+    /// Whether no sender is tracked.
     pub fn is_empty(&self) -> bool {
         self.windows.is_empty()
     }
 
     fn evict(&mut self) {
         let windows = self.windows.iter();
-        let silent = windows.min_by_key(|(_, window)| window.heard);
-        if let Some(sender) = silent.map(|(sender, _)| *sender) {
+        let oldest = windows.min_by_key(|(_, window)| window.last_used);
+        if let Some(sender) = oldest.map(|(sender, _)| *sender) {
             self.windows.remove(sender);
         }
     }
@@ -80,12 +82,12 @@
     fn accept(&mut self, sequence: u64) -> bool {
         if sequence > self.highest {
             let ahead = sequence - self.highest;
-            self.seen = if ahead < WINDOW_DATAGRAMS {
-                self.seen << ahead
+            self.received = if ahead < WINDOW_DATAGRAMS {
+                self.received << ahead
             } else {
                 0
             };
-            self.seen |= 1;
+            self.received |= 1;
             self.highest = sequence;
             return true;
         }
@@ -94,8 +96,8 @@
             return false;
         }
         let bit = 1 << behind;
-        let new = self.seen & bit == 0;
-        self.seen |= bit;
+        let new = self.received & bit == 0;
+        self.received |= bit;
         new
     }
 }
--- a/crates/anvil_wire/src/seal/ring.rs
+++ b/crates/anvil_wire/src/seal/ring.rs
@@ -8,10 +8,11 @@
 use serde::{Deserialize, Serialize};
 use sha2::Sha256;
 
-/// Least length of a secret, in bytes: the output of the hash, below which guessing gets easier.
+/// Minimum length of a secret, in bytes: the output size of the hash. A shorter secret is easier
+/// to guess.
 pub const MIN_SECRET_BYTES: usize = 32;
 
-/// Most keys of one node; a rotation needs two.
+/// Maximum number of keys of a node; a rotation needs two.
 pub const MAX_KEYS: usize = 8;
 
 /// Separates the tags of datagrams from those of streams made with the same secret.
@@ -20,16 +21,16 @@
 /// Separates the tags of streams from those of datagrams made with the same secret.
 const STREAM_PURPOSE: &[u8] = b"anvilworks stream 1";
 
-/// Names a key without telling it.
+/// Identifies a key without revealing it.
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct KeyId(pub u16);
 
-/// Why keys were refused.
+/// Why a set of keys was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error)]
 pub enum KeyError {
-    /// There is no key.
+    /// There are no keys.
     #[display("at least one key is needed")]
     Empty,
     /// There are too many keys.
@@ -38,18 +39,18 @@
     /// A secret is too short.
     #[display("the secret of key {id} is shorter than {MIN_SECRET_BYTES} bytes")]
     Short {
-        /// Which.
+        /// The id of the key.
         id: KeyId,
     },
-    /// Two keys have one id.
+    /// Two keys have the same id.
     #[display("two keys have the id {id}")]
     Duplicate {
-        /// Which.
+        /// The id of the key.
         id: KeyId,
     },
 }
 
-/// One shared key, kept as what is derived from it; neither the secret nor this is ever shown.
+/// A shared key. Only values derived from the secret are stored, and no output contains them.
 #[derive(Clone)]
 pub struct SealKey {
     id: KeyId,
@@ -58,9 +59,9 @@
 }
 
 impl SealKey {
-    /// Derives what is needed from a secret.
+    /// Derives a key from a secret.
     ///
-    /// Fails where the secret is shorter than [`MIN_SECRET_BYTES`].
+    /// Fails if the secret is shorter than [`MIN_SECRET_BYTES`].
     pub fn new(id: KeyId, secret: &[u8]) -> Result<Self, KeyError> {
         if secret.len() < MIN_SECRET_BYTES {
             return Err(KeyError::Short { id });
@@ -93,18 +94,20 @@
     }
 }
 
-/// The keys that a node accepts; it sends with the first of them.
+/// The keys that a node accepts; it sends with the first one.
 ///
-/// A key is rotated without a stop in three rounds over the fleet: add the new key at the end,
-/// move it to the front, remove the old one. At any moment of any round every node accepts what
-/// every other one sends.
+/// A key is rotated without downtime in three rounds over the fleet: add the new key at the end,
+/// move it to the front, remove the old one. During each round, every node accepts what every other
+/// node sends.
 #[derive(Clone, Debug)]
 pub struct KeyRing {
     keys: Vec<SealKey>,
 }
 
 impl KeyRing {
-    /// Checks and keeps `keys` in their order.
+    /// Validates `keys` and keeps their order.
+    ///
+    /// Fails if there are no keys, more than [`MAX_KEYS`], or two with the same id.
     pub fn new(keys: Vec<SealKey>) -> Result<Self, KeyError> {
         if keys.is_empty() {
             return Err(KeyError::Empty);
@@ -125,17 +128,17 @@
         &self.keys[0]
     }
 
-    /// The key of this id, where the node accepts it.
+    /// Returns the accepted key with this id.
     pub(super) fn find(&self, id: KeyId) -> Result<&SealKey, seal::SealError> {
         let found = self.keys.iter().find(|key| key.id == id);
         found.ok_or(seal::SealError::UnknownKey { id })
     }
 }
 
-/// A tag of [`seal::TAG_BYTES`].
+/// An authentication tag of [`seal::TAG_BYTES`].
 pub(super) type Tag = [u8; seal::TAG_BYTES];
 
-/// HMAC-SHA256 with its key taken in, ready to be copied for each message.
+/// HMAC-SHA256 initialized with its key; cloned for each message.
 #[derive(Clone)]
 pub(super) struct TagMaker {
     mac: Hmac<Sha256>,
@@ -143,33 +146,34 @@
 
 impl TagMaker {
     pub(super) fn new(key: &[u8]) -> Self {
-        // HMAC takes keys of every length, so there is no error to pass on.
-        let mac = Hmac::new_from_slice(key).unwrap_or_else(|_| unreachable!("any length will do"));
+        // HMAC accepts keys of any length, so this can't fail.
+        let mac = Hmac::new_from_slice(key)
+            .unwrap_or_else(|_| unreachable!("HMAC accepts keys of any length"));
         Self { mac }
     }
 
-    /// A maker whose key is the tag of `parts`, whole.
+    /// Derives a tag maker whose key is the untruncated HMAC of `parts`.
     pub(super) fn derive(&self, parts: &[&[u8]]) -> Self {
-        Self::new(&self.over(parts).finalize().into_bytes())
+        Self::new(&self.mac_over(parts).finalize().into_bytes())
     }
 
     pub(super) fn tag(&self, parts: &[&[u8]]) -> Tag {
-        let whole = self.over(parts).finalize().into_bytes();
+        let full = self.mac_over(parts).finalize().into_bytes();
         let mut tag = [0; seal::TAG_BYTES];
-        tag.copy_from_slice(&whole[..seal::TAG_BYTES]);
+        tag.copy_from_slice(&full[..seal::TAG_BYTES]);
         tag
     }
 
-    /// Compares in constant time, so that a forger doesn't learn a tag byte by byte.
+    /// Verifies a tag in constant time, so that a forger can't find a tag byte by byte.
     pub(super) fn verify(&self, parts: &[&[u8]], tag: &[u8]) -> Result<(), seal::SealError> {
         if tag.len() != seal::TAG_BYTES {
             return Err(seal::SealError::Forged);
         }
-        let verified = self.over(parts).verify_truncated_left(tag);
+        let verified = self.mac_over(parts).verify_truncated_left(tag);
         verified.map_err(|_| seal::SealError::Forged)
     }
 
-    fn over(&self, parts: &[&[u8]]) -> Hmac<Sha256> {
+    fn mac_over(&self, parts: &[&[u8]]) -> Hmac<Sha256> {
         let mut mac = self.mac.clone();
         for part in parts {
             mac.update(part);
--- a/crates/anvil_wire/src/seal/stream.rs
+++ b/crates/anvil_wire/src/seal/stream.rs
@@ -1,30 +1,31 @@
-//! Sealed frames of one connection.
+//! Authenticated frames of a connection.
 //!
-//! Each frame's tag covers its place in the stream, so a frame that is changed, repeated, left
-//! out, moved or brought from another connection ends the connection instead of being run.
+//! Each frame's tag covers its position in the stream. A frame that is changed, repeated, dropped,
+//! moved or copied from another connection therefore ends the connection instead of being
+//! processed.
 
 use super::ring;
 use crate::{codec, frame, seal};
 
-/// A connection whose ends have proved themselves.
+/// A connection whose ends are authenticated.
 #[derive(Debug)]
 pub struct SealedStream {
-    /// The other end.
+    /// The peer.
     pub peer: frame::PeerHello,
-    /// For the thread that writes.
+    /// Seals outgoing frames, for the writing thread.
     pub sealer: FrameSealer,
-    /// For the thread that reads.
+    /// Opens incoming frames, for the reading thread.
     pub opener: FrameOpener,
 }
 
-/// Seals the frames of one direction.
+/// Seals (authenticates) the frames of one direction.
 #[derive(Debug)]
 pub struct FrameSealer {
     maker: ring::TagMaker,
     sequence: u64,
 }
 
-/// Opens the frames of one direction.
+/// Opens (verifies) the frames of one direction.
 #[derive(Debug)]
 pub struct FrameOpener {
     maker: ring::TagMaker,
@@ -36,8 +37,8 @@
         Self { maker, sequence: 0 }
     }
 
-    /// Appends the tag to a frame as [`codec::encode_frame`] made it; the length in front stays
-    /// that of the frame alone. Frames must leave in the order in which they are sealed.
+    /// Appends the tag to a frame that [`codec::encode_frame`] encoded; its length prefix still
+    /// counts the frame without the tag. Frames must be sent in the order in which they are sealed.
     pub fn seal(&mut self, encoded: &mut Vec<u8>) {
         let body = encoded.get(codec::LENGTH_BYTES..).unwrap_or_default();
         let tag = self.maker.tag(&[&self.sequence.to_be_bytes(), body]);
@@ -51,12 +52,12 @@
         Self { maker, sequence: 0 }
     }
 
-    /// Bytes to read behind a length that [`codec::check_length`] accepted.
+    /// Number of bytes to read after a length prefix that [`codec::check_length`] accepted.
     pub const fn sealed_length(length: usize) -> usize {
         length + seal::TAG_BYTES
     }
 
-    /// Checks the bytes behind a length and gives those of the frame, for
+    /// Verifies the bytes after a length prefix and returns those of the frame, for
     /// [`codec::decode_frame`]. After an error the connection must be closed.
     pub fn open<'a>(&mut self, sealed: &'a [u8]) -> Result<&'a [u8], seal::SealError> {
         let split = sealed.len().checked_sub(seal::TAG_BYTES);
--- a/crates/anvil_wire/src/shutdown.rs
+++ b/crates/anvil_wire/src/shutdown.rs
@@ -1,17 +1,17 @@
-//! What a node that stops and the members of its fleet tell each other, in datagrams.
+//! The shutdown handshake between a stopping node and the members of its fleet, in datagrams.
 //!
 //! See "When a connection ends" in `docs/design/edges.md`.
 
 use serde::{Deserialize, Serialize};
 
-/// One word of a planned stop.
+/// A message of the shutdown handshake.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ShutdownMessage {
-    /// The sender takes no more runs and is about to end; the receiver says that it has heard so.
+    /// The sender accepts no more runs and is about to exit; the receiver acknowledges this.
     Stopping,
-    /// The sender has heard of the receiver's stop and sends it no more calls.
+    /// The sender knows that the receiver is stopping and sends it no more calls.
     Acknowledged {
-        /// Whether calls of the sender are out at the receiver, which may not have come there.
+        /// Whether the sender has unanswered calls at the receiver; these may not have arrived.
         calls_out: bool,
     },
 }
--- a/crates/anvil_wire/src/suspicion.rs
+++ b/crates/anvil_wire/src/suspicion.rs
@@ -1,37 +1,37 @@
-//! What nodes tell one another about targets that crashed; see `docs/design/quarantine.md`.
+//! Notices between nodes about crashed targets; see `docs/design/quarantine.md`.
 
 use anvil_types::{ident, name};
 use serde::{Deserialize, Serialize};
 
-/// Names one crash of one target, so that a notice heard twice counts once.
+/// Identifies one crash of a target, so that a notice that is received twice counts once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct CrashId {
     /// The node beside the target.
     pub node: ident::NodeId,
-    /// Counts the crashes beside that node from one; zero where the whole node was lost.
+    /// Number of the crash at that node, from one; zero if the node itself was lost.
     pub sequence: u64,
 }
 
 /// One request that was running when a target crashed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectRequest {
-    /// Which request.
+    /// Identifies the request.
     pub fingerprint: ident::RequestFingerprint,
-    /// Whether no other suspect ran beside it.
+    /// Whether it was the only already suspected request among those that were running.
     pub alone: bool,
-    /// Crashes that its rule allows.
+    /// Number of crashes that its rule allows.
     pub crash_limit: u8,
-    /// How long its rule refuses it after the last crash, in seconds.
+    /// How long its rule refuses the request after the last crash, in seconds.
     pub quarantine_seconds: u32,
 }
 
-/// Tells that a target crashed and which requests were running.
+/// Reports that a target crashed and which of its running requests are suspected.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspicionNotice {
     /// The crash.
     pub crash: CrashId,
     /// The service of the target.
     pub service: name::ServiceName,
-    /// The requests.
+    /// The suspected requests.
     pub suspects: Vec<SuspectRequest>,
 }
--- a/crates/anvil_wire/tests/compression.rs
+++ b/crates/anvil_wire/tests/compression.rs
@@ -1,4 +1,4 @@
-//! Frames that refer to those before them on their connection.
+//! Compression of frames against the earlier frames of their connection.
 
 use anvil_testkit::test_cases;
 use anvil_types::{context, ident, name, treatment};
@@ -12,7 +12,7 @@
     }
 }
 
-/// A call of one route; `number` tells it from the others.
+/// A call of one route; `number` makes its ids unique.
 fn call(number: u64, body: usize) -> frame::PeerFrame {
     let mixed = number.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1 << 60;
     let request = call::CallRequest {
@@ -62,55 +62,56 @@
     codec::encode_frame(frame).expect("a frame")
 }
 
-fn unpack(unpacker: &mut compression::FrameDecompressor, bytes: &[u8]) -> frame::PeerFrame {
+fn decompress(decompressor: &mut compression::FrameDecompressor, bytes: &[u8]) -> frame::PeerFrame {
     let (length, rest) = bytes.split_first_chunk().expect("a length");
     assert_eq!(codec::check_length(*length), Ok(rest.len()));
-    let plain = unpacker.decompress(rest).expect("a frame");
+    let plain = decompressor.decompress(rest).expect("a frame");
     codec::decode_frame(&plain).expect("a frame")
 }
 
-// Calls of one route follow each other. From the second on, each crosses in less than half of its
-// bytes: what is left are its ids, which are like no others.
+// Many calls of one route follow each other. From the second on, they compress to less than half of
+// their size; what remains is mostly their ids, which are unique.
 #[test]
-fn calls_of_one_route_cross_in_less_than_half() {
-    let (mut packer, mut unpacker) = Default::default();
+fn calls_of_one_route_compress_to_less_than_half() {
+    let (mut compressor, mut decompressor) = Default::default();
     let mut bytes = (0, 0);
     for number in 0..200 {
         let plain = encoded(&call(number, 0));
-        let packed = compression::FrameCompressor::compress(&mut packer, plain.clone());
+        let compressed = compression::FrameCompressor::compress(&mut compressor, plain.clone());
         if number > 0 {
             bytes.0 += plain.len();
-            bytes.1 += packed.len();
+            bytes.1 += compressed.len();
         }
-        assert_eq!(unpack(&mut unpacker, &packed), call(number, 0));
+        assert_eq!(decompress(&mut decompressor, &compressed), call(number, 0));
     }
-    let (plain, packed) = bytes;
-    assert!(packed * 100 < plain * 45, "{packed} of {plain}");
+    let (plain, compressed) = bytes;
+    assert!(compressed * 100 < plain * 45, "{compressed} of {plain}");
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 100, failure_persistence: None, ..ProptestConfig::default() })]
 
-    // Short and long frames in any order, some too long to be packed: each arrives as it left.
+    // Short and long frames in any order, some too long to be compressed.
     #[test]
-    fn every_frame_arrives_as_it_left(bodies in collection::vec(0_usize..4_000, 1..60)) {
-        let mut packer = compression::FrameCompressor::default();
-        let mut unpacker = compression::FrameDecompressor::default();
+    fn every_frame_survives_a_round_trip(bodies in collection::vec(0_usize..4_000, 1..60)) {
+        let mut compressor = compression::FrameCompressor::default();
+        let mut decompressor = compression::FrameDecompressor::default();
         for (number, body) in bodies.into_iter().enumerate() {
             let sent = call(number as u64, body);
-            let packed = packer.compress(encoded(&sent));
-            prop_assert!(packed.len() <= encoded(&sent).len());
-            prop_assert_eq!(unpack(&mut unpacker, &packed), sent);
+            let compressed = compressor.compress(encoded(&sent));
+            prop_assert!(compressed.len() <= encoded(&sent).len());
+            prop_assert_eq!(decompress(&mut decompressor, &compressed), sent);
         }
     }
 
-    // Whatever comes in place of a packed frame is refused or is some bytes; nothing panics.
+    // Arbitrary bytes in a compressed frame give an error or a frame of legal length; nothing
+    // panics.
     #[test]
-    fn garbage_is_refused_in_peace(bytes in collection::vec(any::<u8>(), 0..300)) {
-        let mut unpacker = compression::FrameDecompressor::default();
-        let mut packed = vec![0x80];
-        packed.extend_from_slice(&bytes);
-        if let Ok(plain) = unpacker.decompress(&packed) {
+    fn arbitrary_bytes_never_panic(bytes in collection::vec(any::<u8>(), 0..300)) {
+        let mut decompressor = compression::FrameDecompressor::default();
+        let mut compressed = vec![0x80];
+        compressed.extend_from_slice(&bytes);
+        if let Ok(plain) = decompressor.decompress(&compressed) {
             prop_assert!(plain.len() <= 2_048);
         }
     }
@@ -126,6 +127,6 @@
     malformed_frames_are_refused:
     no_length => (&[0x80, 0], "without its length"),
     too_long => (&[0x80, 0xff, 0xff, 0], "above the limit"),
-    nothing_behind => (&[0x80, 0, 9], "no frame"),
-    fewer_than_announced => (&[0x80, 0, 9, 0x10, 1], "1 bytes unpacked, 9 announced"),
+    empty_block => (&[0x80, 0, 9], "not a valid frame"),
+    fewer_than_announced => (&[0x80, 0, 9, 0x10, 1], "1 bytes after decompression, 9 announced"),
 }
--- a/crates/anvil_wire/tests/decoders.rs
+++ b/crates/anvil_wire/tests/decoders.rs
@@ -1,6 +1,6 @@
-//! Every decoder of bytes from other processes, fed with bytes that no honest peer sends.
+//! Feeds malformed and hostile input to every decoder of bytes from other processes.
 
-// A counting allocator can't be written without `unsafe`; it only passes calls on.
+// A counting allocator requires `unsafe`; it only forwards its calls.
 #![allow(unsafe_code)]
 
 use std::alloc::{GlobalAlloc, Layout, System};
@@ -14,19 +14,19 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// Counts the bytes that this thread holds and the most it ever held.
+/// Counts the bytes allocated by each thread and their peak.
 struct CountingAllocator;
 
 thread_local! {
-    static HELD: Cell<isize> = const { Cell::new(0) };
-    static MOST: Cell<isize> = const { Cell::new(0) };
+    static ALLOCATED: Cell<isize> = const { Cell::new(0) };
+    static PEAK: Cell<isize> = const { Cell::new(0) };
 }
 
 fn count(bytes: isize) {
-    // A thread that ends has no counter any more and is of no interest.
-    let _ = HELD.try_with(|held| {
-        held.set(held.get() + bytes);
-        let _ = MOST.try_with(|most| most.set(most.get().max(held.get())));
+    // The counters of a thread that is ending are already destroyed; its bytes don't matter.
+    let _ = ALLOCATED.try_with(|allocated| {
+        allocated.set(allocated.get() + bytes);
+        let _ = PEAK.try_with(|peak| peak.set(peak.get().max(allocated.get())));
     });
 }
 
@@ -45,34 +45,35 @@
 #[global_allocator]
 static ALLOCATOR: CountingAllocator = CountingAllocator;
 
-/// The most bytes that `work` holds at once beyond those held before.
-fn most_held<W, T>(work: W) -> usize
+/// The peak number of bytes that `work` allocates beyond those allocated before.
+fn peak_allocation<W, T>(work: W) -> usize
 where
     W: FnOnce() -> T,
 {
-    let before = HELD.get();
-    MOST.set(before);
+    let before = ALLOCATED.get();
+    PEAK.set(before);
     let result = work();
     drop(result);
-    usize::try_from(MOST.get() - before).expect("never less than before")
+    usize::try_from(PEAK.get() - before).expect("the peak is at least the start value")
 }
 
-/// What a decoder may hold beyond its input: the header lines of one message and small change.
+/// Bytes that a decoder may allocate regardless of its input: the header lines of one message and
+/// small values.
 const FIXED_BYTES: usize = 256 * 1024;
 
-/// What a decoder may hold for each byte of its input: the value, and once more while a buffer
-/// grows.
-const BYTES_PER_BYTE: usize = 3;
+/// Bytes that a decoder may allocate per byte of its input: the value itself, and a second
+/// allocation while a buffer grows.
+const BYTES_PER_INPUT_BYTE: usize = 3;
 
 fn check_memory<W, T>(input: &[u8], work: W)
 where
     W: FnOnce() -> T,
 {
-    let held = most_held(work);
-    let limit = FIXED_BYTES + BYTES_PER_BYTE * input.len();
+    let peak = peak_allocation(work);
+    let limit = FIXED_BYTES + BYTES_PER_INPUT_BYTE * input.len();
     assert!(
-        held <= limit,
-        "{held} bytes for an input of {}",
+        peak <= limit,
+        "{peak} bytes for an input of {}",
         input.len()
     );
 }
@@ -98,8 +99,9 @@
     handshake::HandshakeNonce([3; handshake::NONCE_BYTES])
 }
 
-/// Feeds every decoder; none may panic, hold too much, or take a stranger's bytes.
-fn feed(bytes: &[u8]) {
+/// Passes `bytes` to every decoder; none may panic, allocate too much, or accept an unauthenticated
+/// message.
+fn check_decoders(bytes: &[u8]) {
     check_memory(bytes, || codec::decode_frame(bytes));
     let mut opener = datagram::DatagramOpener::new(keys(), address());
     check_memory(bytes, || {
@@ -158,27 +160,27 @@
 
     #[test]
     fn arbitrary_bytes_are_refused_within_bounds(bytes in prop::collection::vec(any::<u8>(), 0..600)) {
-        feed(&bytes);
+        check_decoders(&bytes);
     }
 
     #[test]
-    fn spoilt_frames_are_refused_within_bounds(
+    fn corrupted_frames_are_refused_within_bounds(
         body in prop::collection::vec(any::<u8>(), 0..200),
         lines in 0..20_usize,
-        place in any::<prop::sample::Index>(),
+        position in any::<prop::sample::Index>(),
         byte in any::<u8>(),
         cut in any::<prop::sample::Index>(),
     ) {
         let mut bytes = encoded(&answer_frame(header_lines(lines), &body));
-        let place = place.index(bytes.len());
-        bytes[place] = byte;
-        feed(&bytes);
+        let position = position.index(bytes.len());
+        bytes[position] = byte;
+        check_decoders(&bytes);
         bytes.truncate(cut.index(bytes.len()));
-        feed(&bytes);
+        check_decoders(&bytes);
     }
 
     #[test]
-    fn frames_come_back_as_they_were(
+    fn frames_survive_a_round_trip(
         body in prop::collection::vec(any::<u8>(), 0..2_000),
         lines in 0..20_usize,
     ) {
@@ -196,17 +198,17 @@
 }
 
 #[test]
-fn refuses_more_header_lines_than_agreed() {
-    let most = encoded(&answer_frame(header_lines(call::MAX_HEADER_LINES), b""));
-    assert!(codec::decode_frame(&most).is_ok());
+fn refuses_more_header_lines_than_allowed() {
+    let allowed = encoded(&answer_frame(header_lines(call::MAX_HEADER_LINES), b""));
+    assert!(codec::decode_frame(&allowed).is_ok());
     let above = encoded(&answer_frame(header_lines(call::MAX_HEADER_LINES + 1), b""));
     assert!(codec::decode_frame(&above).is_err());
 }
 
 #[test]
-fn a_frame_of_nothing_but_header_lines_stays_small_in_memory() {
-    // A faulty peer fills a frame with the shortest header lines. Each takes two bytes on the wire
-    // and some fifty in memory; without a limit of lines, one frame would take hundreds of
+fn a_frame_of_header_lines_only_stays_small_in_memory() {
+    // A faulty peer fills a frame with minimal header lines. Each takes two bytes on the wire and
+    // about fifty in memory; without a limit on their number, one frame would take hundreds of
     // megabytes at the receiver.
     let line = call::HeaderLine {
         name: String::new(),
--- a/crates/anvil_wire/tests/seal_datagram.rs
+++ b/crates/anvil_wire/tests/seal_datagram.rs
@@ -1,4 +1,4 @@
-//! Sealed datagrams: who may send them, and that each counts once.
+//! Sealed datagrams: authentication, key rotation and replay protection.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -39,28 +39,28 @@
 }
 
 #[test]
-fn opens_what_a_key_holder_sealed() {
+fn opens_a_datagram_sealed_with_the_key() {
     let bytes = sealed(&[1]);
     assert_eq!(bytes.len(), PAYLOAD.len() + datagram::OVERHEAD_BYTES);
     let mut opener = opener(&[1]);
-    let opened = opener.open(&bytes).expect("a right datagram");
+    let opened = opener.open(&bytes).expect("a valid datagram");
     assert_eq!((opened.sender, opened.payload), (SENDER, PAYLOAD));
 }
 
 #[test]
 fn refuses_every_changed_byte() {
     let bytes = sealed(&[1]);
-    for place in 0..bytes.len() {
+    for position in 0..bytes.len() {
         let mut changed = bytes.clone();
-        changed[place] ^= 1;
-        assert!(opener(&[1]).open(&changed).is_err(), "byte {place}");
+        changed[position] ^= 1;
+        assert!(opener(&[1]).open(&changed).is_err(), "byte {position}");
     }
 }
 
 #[test]
 fn a_datagram_for_another_node_is_refused() {
-    // An attacker records a datagram on its way to one node and sends it to another, whose window
-    // never saw its sequence. The tag covers the receiver's address, so it doesn't fit there.
+    // An attacker records a datagram for one node and sends it to another, whose replay window has
+    // not seen its sequence. The tag covers the receiver's address, so it doesn't match there.
     let elsewhere = address("10.0.0.3:7000");
     let mut opener = datagram::DatagramOpener::new(keys(&[1]), elsewhere);
     assert_eq!(opener.open(&sealed(&[1])), Err(seal::SealError::Forged));
@@ -75,8 +75,8 @@
 
 #[test]
 fn a_repeated_datagram_is_refused() {
-    // An attacker records that a node is alive and sends the same bytes again after the node
-    // left. The sequence was seen, so the old news isn't heard twice.
+    // An attacker records a datagram that shows a node alive and sends it again after the node
+    // left. Its sequence was already received, so it is rejected.
     let bytes = sealed(&[1]);
     let mut opener = opener(&[1]);
     opener.open(&bytes).expect("the first time");
@@ -84,8 +84,8 @@
 }
 
 #[test]
-fn a_stranger_without_the_secret_is_refused() {
-    // The stranger knows the key's id, which is no secret, and guesses a secret of its own.
+fn a_sender_without_the_secret_is_refused() {
+    // The sender knows the key's id, which is not secret, but uses a secret of its own.
     let guessed = Arc::new(ring::KeyRing::new(vec![key(1, 99)]).expect("a ring"));
     let mut sealer = datagram::DatagramSealer::new(guessed, SENDER);
     let bytes = sealer.seal(receiver(), PAYLOAD).expect("a datagram");
@@ -93,14 +93,14 @@
 }
 
 fn check_rotation(sending: &[u16], receiving: &[u16], accepted: bool) {
-    // Keys change while nodes run, so in every round some nodes have the new settings and some
+    // Keys are rotated while nodes run, so in every round some nodes have the new settings and some
     // the old ones; each must accept what the other sends.
     assert_eq!(opener(receiving).open(&sealed(sending)).is_ok(), accepted);
     assert_eq!(opener(sending).open(&sealed(receiving)).is_ok(), accepted);
 }
 
 test_cases! { check_rotation:
-    the_new_key_is_added_behind => (&[1, 2], &[1], true),
+    the_new_key_is_added_at_the_end => (&[1, 2], &[1], true),
     the_new_key_moves_to_the_front => (&[2, 1], &[1, 2], true),
     the_old_key_is_removed => (&[2], &[2, 1], true),
     a_node_that_missed_all_rounds => (&[2], &[1], false),
@@ -126,12 +126,12 @@
     let mut guard = replay::ReplayGuard::default();
     let top = 100;
     assert!(guard.accept(SENDER, top));
-    let inside = top - replay::WINDOW_DATAGRAMS + 1;
-    for sequence in (inside..top).rev() {
+    let lowest = top - replay::WINDOW_DATAGRAMS + 1;
+    for sequence in (lowest..top).rev() {
         assert!(guard.accept(SENDER, sequence), "{sequence}");
         assert!(!guard.accept(SENDER, sequence), "{sequence}");
     }
-    assert!(!guard.accept(SENDER, inside - 1), "too old to tell");
+    assert!(!guard.accept(SENDER, lowest - 1), "too old to tell");
     assert!(guard.accept(SENDER, top + 1_000));
     assert!(!guard.accept(SENDER, top));
 }
@@ -145,7 +145,7 @@
     })]
 
     #[test]
-    fn the_window_accepts_as_a_set_of_all_that_was_seen(
+    fn the_window_accepts_like_a_set_of_all_received_sequences(
         sequences in prop::collection::vec(0..200_u64, 0..200),
     ) {
         let mut guard = replay::ReplayGuard::default();
@@ -162,9 +162,9 @@
 }
 
 #[test]
-fn the_sender_silent_for_longest_gives_way() {
-    // A fleet restarts nodes for days until the memory for senders is full. Nodes that live must
-    // stay guarded against replays, whichever identity they drew.
+fn the_sender_silent_for_longest_is_evicted() {
+    // Nodes restart for days until the table of senders is full. Live nodes must stay protected
+    // against replays, regardless of their ids.
     let limit = replay::MAX_SENDERS as u64;
     let mut guard = replay::ReplayGuard::default();
     for sender in 0..limit {
@@ -173,12 +173,12 @@
     assert!(guard.accept(ident::NodeId(0), 2));
     assert!(guard.accept(ident::NodeId(limit), 1));
     assert_eq!(guard.len(), replay::MAX_SENDERS);
-    assert!(!guard.accept(ident::NodeId(0), 2), "heard just now");
-    assert!(guard.accept(ident::NodeId(1), 1), "forgotten");
+    assert!(!guard.accept(ident::NodeId(0), 2), "used recently");
+    assert!(guard.accept(ident::NodeId(1), 1), "evicted");
 }
 
 fn check_ring(keys: Vec<ring::SealKey>, expected: &str) {
-    let error = ring::KeyRing::new(keys).expect_err("a wrong ring");
+    let error = ring::KeyRing::new(keys).expect_err("an invalid ring");
     assert_eq!(error.to_string(), expected);
 }
 
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn a_short_secret_is_refused_and_a_secret_is_never_shown() {
+fn a_short_secret_is_refused_and_no_secret_is_printed() {
     let error = ring::SealKey::new(ring::KeyId(3), &[7; 31]).expect_err("too short");
     assert_eq!(
         error.to_string(),
--- a/crates/anvil_wire/tests/seal_stream.rs
+++ b/crates/anvil_wire/tests/seal_stream.rs
@@ -1,4 +1,4 @@
-//! The handshake between two nodes and the frames behind it.
+//! The handshake between two nodes and the sealed frames that follow it.
 
 use anvil_testkit::test_cases;
 use anvil_types::ident;
@@ -25,14 +25,14 @@
     handshake::HandshakeNonce([byte; handshake::NONCE_BYTES])
 }
 
-/// Checks the length in front and takes it off, as the edges do.
+/// Checks and removes the length prefix, as the edges do.
 fn unframed(bytes: &[u8]) -> &[u8] {
     let (prefix, rest) = bytes.split_first_chunk().expect("a length");
     assert_eq!(handshake::check_length(*prefix), Ok(rest.len()));
     rest
 }
 
-/// Two ends and what an attacker recorded of their handshake.
+/// Both ends of a connection and an attacker's recording of their handshake.
 struct Connection {
     initiator: stream::SealedStream,
     responder: stream::SealedStream,
@@ -50,9 +50,11 @@
     let (responder, second) = answered.expect("a challenge");
     let second = unframed(&second).to_vec();
     let finished = initiator.finish(&second, Some(RESPONDER));
-    let (initiator, third) = finished.expect("the responder is proved");
+    let (initiator, third) = finished.expect("the responder is authenticated");
     let third = unframed(&third).to_vec();
-    let responder = responder.finish(&third).expect("the initiator is proved");
+    let responder = responder
+        .finish(&third)
+        .expect("the initiator is authenticated");
     Connection {
         initiator,
         responder,
@@ -68,19 +70,19 @@
     }
 }
 
-/// What stands behind the length of a sealed frame.
+/// A sealed frame without its length prefix.
 fn sealed(sealer: &mut stream::FrameSealer, sequence: u64) -> Vec<u8> {
     let mut bytes = codec::encode_frame(&cancel(sequence)).expect("a frame");
     let (prefix, _) = bytes.split_first_chunk().expect("a length");
-    let length = codec::check_length(*prefix).expect("a right length");
+    let length = codec::check_length(*prefix).expect("a valid length");
     sealer.seal(&mut bytes);
-    let behind = bytes.split_off(codec::LENGTH_BYTES);
-    assert_eq!(behind.len(), stream::FrameOpener::sealed_length(length));
-    behind
+    let rest = bytes.split_off(codec::LENGTH_BYTES);
+    assert_eq!(rest.len(), stream::FrameOpener::sealed_length(length));
+    rest
 }
 
 #[test]
-fn both_ends_prove_themselves_and_frames_pass_both_ways() {
+fn both_ends_are_authenticated_and_frames_pass_both_ways() {
     let mut connection = connect(1, 2);
     assert_eq!(connection.initiator.peer.node, RESPONDER);
     assert_eq!(connection.responder.peer.node, INITIATOR);
@@ -98,18 +100,18 @@
 type Attack = fn(first: Vec<u8>, second: Vec<u8>) -> Vec<Vec<u8>>;
 
 fn check_attack(attack: Attack, accepted: usize) {
-    // The caller must not see an answer of another call. An attacker on the way repeats, drops,
-    // swaps or changes frames; the first that isn't in its place is refused, and the edge then
+    // A caller must not receive the answer of another call. An attacker on the network repeats,
+    // drops, swaps or changes frames; the first frame out of place is refused, and the edge then
     // closes the connection.
     let mut connection = connect(1, 2);
     let first = sealed(&mut connection.initiator.sealer, 1);
     let second = sealed(&mut connection.initiator.sealer, 2);
     let opener = &mut connection.responder.opener;
     let arriving = attack(first, second);
-    let good = arriving
+    let opened = arriving
         .iter()
         .take_while(|bytes| opener.open(bytes).is_ok());
-    assert_eq!(good.count(), accepted);
+    assert_eq!(opened.count(), accepted);
 }
 
 test_cases! { check_attack:
@@ -144,13 +146,13 @@
 }
 
 #[test]
-fn a_recorded_connection_cannot_be_played_back() {
-    // An attacker recorded a whole handshake and opens a connection with its messages. The
-    // responder's nonce is another this time, so the recorded proof doesn't fit.
+fn a_recorded_connection_cannot_be_replayed() {
+    // An attacker recorded a complete handshake and opens a connection with its messages. The
+    // responder's nonce differs this time, so the recorded proof doesn't match.
     let [first, _, third] = connect(1, 2).recorded;
     let own = hello(RESPONDER);
     let answered = handshake::ResponderHandshake::begin(&keys(7), &own, nonce(5), &first);
-    let (responder, _) = answered.expect("a challenge for everyone");
+    let (responder, _) = answered.expect("a challenge for any initiator");
     assert!(matches!(
         responder.finish(&third),
         Err(seal::SealError::Forged)
@@ -158,7 +160,7 @@
 }
 
 #[test]
-fn a_recorded_responder_cannot_be_played_back() {
+fn a_recorded_responder_cannot_be_replayed() {
     let [_, second, _] = connect(1, 2).recorded;
     let begun = handshake::InitiatorHandshake::begin(&keys(7), hello(INITIATOR), nonce(5));
     let (initiator, _) = begun.expect("a hello");
@@ -167,25 +169,25 @@
 }
 
 #[test]
-fn a_node_without_the_secret_proves_itself_to_nobody() {
+fn a_node_without_the_secret_is_not_authenticated() {
     let begun = handshake::InitiatorHandshake::begin(&keys(99), hello(INITIATOR), nonce(1));
-    let (stranger, first) = begun.expect("a hello");
+    let (initiator, first) = begun.expect("a hello");
     let own = hello(RESPONDER);
     let answered = handshake::ResponderHandshake::begin(&keys(7), &own, nonce(2), unframed(&first));
-    let (_, second) = answered.expect("a challenge for everyone");
-    let finished = stranger.finish(unframed(&second), None);
+    let (_, second) = answered.expect("a challenge for any initiator");
+    let finished = initiator.finish(unframed(&second), None);
     assert!(matches!(finished, Err(seal::SealError::Forged)));
 }
 
 #[test]
-fn a_challenge_sent_back_proves_nothing() {
-    // A stranger that opens a connection sends the responder's own tag back as its proof. The
-    // tags name their roles, so the two never agree.
+fn a_reflected_challenge_is_refused() {
+    // An attacker that opens a connection returns the responder's own tag as its proof. Tags cover
+    // the role of their sender, so the two never match.
     let begun = handshake::InitiatorHandshake::begin(&keys(99), hello(INITIATOR), nonce(1));
     let (_, first) = begun.expect("a hello");
     let own = hello(RESPONDER);
     let answered = handshake::ResponderHandshake::begin(&keys(7), &own, nonce(2), unframed(&first));
-    let (responder, second) = answered.expect("a challenge for everyone");
+    let (responder, second) = answered.expect("a challenge for any initiator");
     let tag_start = second.len() - anvil_wire::seal::TAG_BYTES;
     assert!(matches!(
         responder.finish(&second[tag_start..]),
@@ -209,9 +211,9 @@
 }
 
 #[test]
-fn another_node_at_the_expected_address_is_told() {
-    // A node was replaced by a new one at the same address. Its calls are bound to the process
-    // that is gone, so the initiator must not hand them to the new one.
+fn another_node_at_the_expected_address_is_refused() {
+    // A node was replaced by a new one at the same address. Calls are bound to the former process,
+    // so the initiator must not send them to the new one.
     let begun = handshake::InitiatorHandshake::begin(&keys(7), hello(INITIATOR), nonce(1));
     let (initiator, first) = begun.expect("a hello");
     let own = hello(ident::NodeId(3));
@@ -232,34 +234,34 @@
 #[test]
 fn every_changed_byte_of_the_handshake_is_refused() {
     let [first, second, third] = connect(1, 2).recorded;
-    for place in 0..first.len() {
+    for position in 0..first.len() {
         let mut changed = first.clone();
-        changed[place] ^= 1;
+        changed[position] ^= 1;
         assert!(
             !handshake_passes(&changed, None, None),
-            "hello, byte {place}"
+            "hello, byte {position}"
         );
     }
-    for place in 0..second.len() {
+    for position in 0..second.len() {
         let mut changed = second.clone();
-        changed[place] ^= 1;
+        changed[position] ^= 1;
         assert!(
             !handshake_passes(&first, Some(&changed), None),
-            "challenge, byte {place}"
+            "challenge, byte {position}"
         );
     }
-    for place in 0..third.len() {
+    for position in 0..third.len() {
         let mut changed = third.clone();
-        changed[place] ^= 1;
+        changed[position] ^= 1;
         assert!(
             !handshake_passes(&first, None, Some(&changed)),
-            "proof, byte {place}"
+            "proof, byte {position}"
         );
     }
     assert!(handshake_passes(&first, None, None));
 }
 
-/// Runs a handshake whose messages an attacker replaces by those given.
+/// Runs a handshake in which an attacker replaces messages with those given.
 fn handshake_passes(first: &[u8], second: Option<&[u8]>, third: Option<&[u8]>) -> bool {
     let begun = handshake::InitiatorHandshake::begin(&keys(7), hello(INITIATOR), nonce(1));
     let (initiator, _) = begun.expect("a hello");
@@ -278,7 +280,7 @@
 }
 
 #[test]
-fn a_stranger_cannot_announce_a_long_message() {
+fn an_unauthenticated_peer_cannot_announce_a_long_message() {
     let prefix = u32::try_from(handshake::MAX_MESSAGE_BYTES + 1).expect("small");
     assert!(handshake::check_length(prefix.to_be_bytes()).is_err());
 }
