--- a/crates/anvil_edge/src/caller.rs
+++ b/crates/anvil_edge/src/caller.rs
@@ -1,4 +1,4 @@
-//! Requests of callers, and the replies to them.
+//! The interface for dialects between callers and their node.
 
 use anvil_core::{effect, event};
 use anvil_types::name;
@@ -8,59 +8,59 @@
 use http::{Method, Response, request};
 use http_body_util::Full;
 
-/// A response with its whole body.
+/// A response with its complete body.
 pub type FullResponse = Response<Full<Bytes>>;
 
-/// A call as read from a head, before its body.
+/// A call as read from a request head, before its body.
 #[derive(Debug)]
 pub struct CallHead {
     /// The request with an empty body.
     pub request: call::CallRequest,
-    /// What the headers say beside it.
+    /// Further information from the headers.
     pub hints: event::CallerHints,
 }
 
-/// Why the edge refused a request before the reducer saw it; it never ran.
+/// Why the edge refused a request before it reached the reducer; the request did not run.
 #[derive(Clone, Debug, PartialEq, Eq, Display)]
 pub enum IntakeRefusal {
-    /// The method has no meaning for a request that is forwarded whole.
-    #[display("the method {_0} is not served")]
+    /// The method can't be supported, because requests are forwarded only as a whole.
+    #[display("the method {_0} is not supported")]
     Method(Method),
-    /// Neither header names a service.
-    #[display("name the service by the header anvil-service or as the first label of Host")]
+    /// No header names a service.
+    #[display("name the service in the header anvil-service or as the first label of Host")]
     ServiceMissing,
-    /// The service's name is malformed.
+    /// The name of the service is malformed.
     #[display("the service {text:?} is malformed: {reason}")]
     ServiceMalformed {
-        /// What was sent.
+        /// The name as sent.
         text: String,
         /// What is wrong with it.
         reason: name::NameError,
     },
-    /// A header that the dialect gives a meaning is malformed.
+    /// A header that the dialect interprets is malformed.
     #[display("the header {header} is malformed: {expected} is expected")]
     HintMalformed {
-        /// Which.
+        /// The name of the header.
         header: &'static str,
-        /// What it should hold.
+        /// The expected value.
         expected: &'static str,
     },
-    /// The parent token was not minted by this node.
+    /// The parent token was not issued by this process.
     #[display("the header anvil-parent holds no token of this node")]
     ParentForged,
-    /// The body is above the limit.
-    #[display("the body is above {} bytes", codec::MAX_BODY_BYTES)]
+    /// The body is longer than [`codec::MAX_BODY_BYTES`].
+    #[display("the body is longer than {} bytes", codec::MAX_BODY_BYTES)]
     BodyOversized,
     /// The body did not arrive in time.
     #[display("the body did not arrive in time")]
     BodySlow,
-    /// The body broke off or has bad chunking.
-    #[display("the body broke off or its chunks are malformed")]
+    /// The body is incomplete, or its chunked encoding is malformed.
+    #[display("the body is incomplete or its chunked encoding is malformed")]
     BodyMalformed,
 }
 
 impl IntakeRefusal {
-    /// Whether unread bytes of the body may stand on the connection, so that it has to close.
+    /// Whether unread bytes of the body may remain on the connection, so that it must be closed.
     pub fn leaves_unread_body(&self) -> bool {
         !matches!(
             self,
@@ -69,16 +69,16 @@
     }
 }
 
-/// How callers' requests and the replies to them look on the wire.
+/// The wire format of callers' requests and of the replies to them.
 ///
-/// A trait, because the node's own dialect and that of a platform both stand behind it.
+/// It is a trait because both the node's own dialect and the dialect of a platform implement it.
 pub trait CallerDialect: std::fmt::Debug + Send + Sync {
-    /// Reads the head of a request.
+    /// Parses the head of a request.
     fn read_head(&self, head: &request::Parts) -> Result<CallHead, IntakeRefusal>;
 
-    /// The response to a request that the edge refused.
+    /// Builds the response to a request that the edge refused.
     fn refused(&self, refusal: &IntakeRefusal) -> FullResponse;
 
-    /// The response that tells a reply of the reducer.
+    /// Builds the response for a reply of the reducer.
     fn reply(&self, reply: effect::CallerReply) -> FullResponse;
 }
--- a/crates/anvil_edge/src/control.rs
+++ b/crates/anvil_edge/src/control.rs
@@ -1,57 +1,57 @@
-//! What the target and the platform around the node tell it and ask it, beside requests.
+//! Control calls to a node from its target and the platform: readiness checks and notifications.
 
 use anvil_core::event;
 use bytes::Bytes;
 use derive_more::{Display, Error};
 use http::Response;
 
-/// What a call to the control address is.
+/// A call to the control address.
 #[derive(Clone, Debug)]
 pub enum ControlCall {
-    /// Asks whether callers should send this node work.
+    /// Queries whether callers should send requests to this node.
     Readiness,
-    /// Tells something that the reducer takes in before it is acknowledged.
+    /// Reports an event; it is acknowledged once the reducer has processed it.
     Notify(event::NodeEvent),
 }
 
 /// Why a call to the control address was refused.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error)]
 pub enum ControlRefusal {
-    /// There is nothing at the path, or not for the method.
+    /// Nothing exists at the path, or it doesn't support the method.
     #[display("there is nothing at {path}")]
     NotFound {
-        /// The path asked for.
+        /// The requested path.
         path: String,
     },
-    /// The node is ending and takes nothing in any more; another one may.
+    /// The node is shutting down and accepts no more events; another node may.
     #[display("the node is leaving")]
     Leaving,
     /// The body or the path is malformed.
     #[display("{reason}")]
     Malformed {
-        /// What is wrong, with its place.
+        /// What is wrong, and at which position.
         reason: String,
     },
 }
 
-/// How a call to the control address ended.
+/// The outcome of a call to the control address.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ControlOutcome {
     /// The answer to [`ControlCall::Readiness`].
     Ready(bool),
-    /// The reducer has taken it in.
+    /// The reducer has processed the event.
     Accepted,
-    /// It was refused, and nothing was changed.
+    /// The call was refused and had no effect.
     Refused(ControlRefusal),
 }
 
-/// How the control address looks on the wire.
+/// The wire format of the control address.
 ///
-/// A trait, because what speaks to it is given by the platform around the node.
+/// It is a trait because the platform around the node determines the format.
 pub trait ControlDialect: std::fmt::Debug + Send + Sync {
-    /// Reads a call.
+    /// Parses a call.
     fn read(&self, method: &str, path: &str, body: &[u8]) -> Result<ControlCall, ControlRefusal>;
 
-    /// The response that tells an outcome.
+    /// Builds the response for an outcome.
     fn respond(&self, outcome: &ControlOutcome) -> Response<Bytes>;
 }
--- a/crates/anvil_edge/src/hops.rs
+++ b/crates/anvil_edge/src/hops.rs
@@ -1,12 +1,12 @@
-//! Headers that concern one connection only, after RFC 9110, section 7.6.1.
+//! Removal of hop-by-hop headers, following RFC 9110, section 7.6.1.
 
 use anvil_wire::call;
 use bytes::Bytes;
 use http::header as names;
 use http::{HeaderMap, HeaderName, HeaderValue};
 
-/// Headers that never go further: those of the connection, and the framing that each connection
-/// builds anew for the whole body it sends.
+/// Headers that are never forwarded: those of the connection, and the framing, which each
+/// connection sets itself for the body it sends.
 const HOP_BY_HOP: [&str; 8] = [
     "connection",
     "expect",
@@ -18,11 +18,11 @@
     "upgrade",
 ];
 
-/// The length of a body, built anew unless the body is left out on purpose.
-const LENGTH: &str = "content-length";
+/// The length of a body; it is not forwarded unless the answer has no body by definition.
+const CONTENT_LENGTH: &str = "content-length";
 
-/// End-to-end headers of a caller's request, in order, without those that `is_own` names: they
-/// belong to the dialect and are set anew.
+/// Returns the end-to-end headers of a caller's request, in order, without those for which `is_own`
+/// returns true: they belong to the dialect, which sets them itself.
 pub fn request_lines<F>(headers: &HeaderMap, is_own: F) -> Vec<call::HeaderLine>
 where
     F: Fn(&str) -> bool,
@@ -30,10 +30,10 @@
     lines(headers, false, is_own)
 }
 
-/// End-to-end headers of a target's answer, in order, without those that `is_own` names, so that a
-/// target can't forge what the node says of an answer.
+/// Returns the end-to-end headers of a target's answer, in order, without those for which `is_own`
+/// returns true, so that a target can't forge the node's own headers.
 ///
-/// `bodiless` answers, such as those to HEAD, keep the length that they state.
+/// `bodiless` answers, such as those to HEAD, keep their `Content-Length`.
 pub fn answer_lines<F>(headers: &HeaderMap, bodiless: bool, is_own: F) -> Vec<call::HeaderLine>
 where
     F: Fn(&str) -> bool,
@@ -41,7 +41,7 @@
     lines(headers, bodiless, is_own)
 }
 
-/// Appends `lines` to `headers`; nothing where one is malformed.
+/// Appends `lines` to `headers`; returns `None` if one of them is malformed.
 pub fn append_lines(headers: &mut HeaderMap, lines: &[call::HeaderLine]) -> Option<()> {
     headers.reserve(lines.len());
     for line in lines {
@@ -56,13 +56,13 @@
 where
     F: Fn(&str) -> bool,
 {
-    let nominated = nominated(headers);
+    let options = connection_options(headers);
     let mut lines = Vec::with_capacity(headers.len());
     for (name, value) in headers {
         let name = name.as_str();
-        let framing = name == LENGTH && !keep_length;
+        let framing = name == CONTENT_LENGTH && !keep_length;
         let own = is_own(name);
-        let hop = HOP_BY_HOP.contains(&name) || nominated.iter().any(|n| n == name);
+        let hop = HOP_BY_HOP.contains(&name) || options.iter().any(|option| option == name);
         if framing || own || hop {
             continue;
         }
@@ -74,8 +74,8 @@
     lines
 }
 
-/// Names that `Connection` declares to concern this connection only, lower case.
-fn nominated(headers: &HeaderMap) -> Vec<String> {
+/// Returns the header names that `Connection` declares as hop-by-hop, in lower case.
+fn connection_options(headers: &HeaderMap) -> Vec<String> {
     let values = headers.get_all(names::CONNECTION).iter();
     values
         .filter_map(|value| value.to_str().ok())
--- a/crates/anvil_edge/src/target.rs
+++ b/crates/anvil_edge/src/target.rs
@@ -1,4 +1,4 @@
-//! Requests to the local target, and what its answers mean.
+//! The interface for dialects between a node and its local target.
 
 use anvil_core::effect;
 use anvil_types::ident;
@@ -7,54 +7,55 @@
 
 use crate::hops;
 
-/// What an answer means, told by its head.
+/// The meaning of an answer, as determined from its head.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AnswerMeaning {
-    /// It is the target's answer to this request, once its body is whole.
+    /// The answer to this request, valid once its body is complete.
     Answer,
     /// The target refused the request without running it.
     Refused,
-    /// Another start of a target holds the address and refused the request without running it.
+    /// Another run of a target process has the address and refused the request without running it.
     Misdirected {
-        /// The one that answered, where it said so.
+        /// The run that answered, if the answer identifies it.
         holder: Option<ident::IncarnationId>,
     },
-    /// It answers another request, so the answer to this one is still to come.
+    /// An answer to another request; the answer to this one has not arrived yet.
     Unrelated,
-    /// It can't be what the target meant to say, so whether the request ran is not known.
+    /// Not a valid answer of the target, so it is unknown whether the request ran.
     Invalid,
 }
 
-/// How a body that states no length ends.
+/// Meaning of the end of the connection for a body without a stated length.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseMeaning {
-    /// The end of its connection looks the same whether the target finished it or died, so it
-    /// counts as cut off.
+    /// The body counts as truncated, because the connection ends in the same way whether the target
+    /// completed the body or crashed.
     Truncated,
-    /// A clean end of the connection ends it; a reset cuts it off.
+    /// A regular close of the connection completes the body; a reset truncates it.
     Complete,
 }
 
-/// How requests to the target and its answers look on the wire.
+/// The wire format of requests to the target and of its answers.
 ///
-/// A trait, because the node's own dialect and that of a platform both stand behind it.
+/// It is a trait because both the node's own dialect and the dialect of a platform implement it.
 pub trait TargetDialect: std::fmt::Debug + Send + Sync {
-    /// The request to send for `order`, or none where it can't be put on the wire.
+    /// Builds the request for `order`; returns `None` if it has no valid HTTP form.
     fn build(&self, order: &effect::RunOrder) -> Option<http::Request<Bytes>>;
 
-    /// What an answer with this head means for `order`.
+    /// Determines what an answer with this head means for `order`.
     fn classify(&self, order: &effect::RunOrder, head: &response::Parts) -> AnswerMeaning;
 
-    /// How a body that states no length ends.
+    /// The meaning of the end of the connection for a body without a stated length.
     fn close_meaning(&self) -> CloseMeaning;
 
-    /// Whether a header of the answer is for this node alone and goes no further; names are lower
-    /// case.
+    /// Whether a header of the answer is meant for this node only and is not forwarded; `header` is
+    /// in lower case.
     fn is_internal_header(&self, header: &str) -> bool;
 }
 
-/// The request of `order` with its end-to-end headers, to which a dialect adds its own; none where
-/// it can't be put on the wire.
+/// Builds the request of `order` with its end-to-end headers, to which a dialect adds its own.
+///
+/// Returns `None` if the method, the path or a header is malformed.
 pub fn plain_request(order: &effect::RunOrder) -> Option<http::Request<Bytes>> {
     let request = &order.request;
     let mut built = http::Request::new(request.body.clone());
