--- a/crates/anvil_core/src/retrying.rs
+++ b/crates/anvil_core/src/retrying.rs
@@ -162,7 +162,7 @@
         let open = self.calls.get(sequence)?;
         let idempotent = open.treatment.idempotent;
         let error = failed && idempotent && !policy.chain_allowance;
-        let spent = open.allowance.left() == 0 || open.targets_spent();
+        let spent = open.allowance.available() == 0 || open.targets_spent();
         if spent || !(error || may_retry(verdict, idempotent)) {
             return None;
         }
@@ -306,7 +306,7 @@
             | verdict::RefusalReason::UnknownService
             | verdict::RefusalReason::Leaving
             | verdict::RefusalReason::Unreachable
-            | verdict::RefusalReason::RulesUnknown => Some(refusal::retry_when_back(lane)),
+            | verdict::RefusalReason::RulesUnknown => Some(refusal::retry_after_restart(lane)),
             _ => None,
         }
     }
@@ -315,11 +315,11 @@
         match self
             .overload
             .poison
-            .standing(self.now, open.context.fingerprint)
+            .status(self.now, open.context.fingerprint)
         {
-            quarantine::PrintStanding::Quarantined { left, .. } => Some(left),
+            quarantine::PrintStatus::Quarantined { left, .. } => Some(left),
             // The target's node refused it and this one has not heard of the crashes.
-            quarantine::PrintStanding::Clean | quarantine::PrintStanding::Suspect => {
+            quarantine::PrintStatus::Clean | quarantine::PrintStatus::Suspect => {
                 Some(open.treatment.quarantine)
             }
         }
