--- a/crates/anvil_core/benches/reducer.rs
+++ b/crates/anvil_core/benches/reducer.rs
@@ -22,7 +22,7 @@
 fn entry_call_and_answer(bencher: divan::Bencher<'_, '_>) {
     let mut node = support::entry_node();
     for peer in 2..10 {
-        support::learn(&mut node, ident::NodeId(peer));
+        support::add_peer(&mut node, ident::NodeId(peer));
     }
     let mut clock = StepClock::default();
     bencher.bench_local(|| {
@@ -45,7 +45,7 @@
         let run = support::started(&effects)[0];
         let ended = event::NodeEvent::RunEnded {
             run,
-            outcome: support::whole(),
+            outcome: support::answered(),
         };
         node.step(clock.next(), ended)
     });
@@ -55,7 +55,7 @@
 #[divan::bench]
 fn idle_wake(bencher: divan::Bencher<'_, '_>) {
     let mut node = support::entry_node();
-    support::learn(&mut node, support::PEER);
+    support::add_peer(&mut node, support::PEER);
     for handle in 0..350 {
         node.step(support::at(1), support::arrival(handle, "GET"));
     }
--- a/crates/anvil_core/examples/overload_table.rs
+++ b/crates/anvil_core/examples/overload_table.rs
@@ -18,7 +18,7 @@
 /// The load and the faults during the overload.
 struct Scenario {
     name: &'static str,
-    /// Demand as a multiple of [`mesh::SATURATION`].
+    /// Demand as a multiple of [`mesh::SATURATION_PER_S`].
     demand_factor: f64,
     /// Factor on the run time of the service `expediente`, the deepest one.
     slowdown: f64,
@@ -79,10 +79,10 @@
     }
 }
 
-/// Adds requests that only need the first service, at the rate of [`mesh::SATURATION`].
+/// Adds requests that only need the first service, at the rate of [`mesh::SATURATION_PER_S`].
 const fn beside(name: &'static str, demand_factor: f64, slowdown: f64) -> Scenario {
     Scenario {
-        side_rate: mesh::SATURATION,
+        side_rate: mesh::SATURATION_PER_S,
         ..scenario(name, demand_factor, slowdown, 0)
     }
 }
@@ -151,11 +151,11 @@
     plan.resends = scenario.resends;
     plan.side_rate = scenario.side_rate;
     plan.fault = (scenario.fault, from, to);
-    plan.patience = std::time::Duration::from_millis(scenario.patience_ms);
-    let base_rate = mesh::SATURATION / 2.0;
+    plan.client_timeout = std::time::Duration::from_millis(scenario.patience_ms);
+    let base_rate = mesh::SATURATION_PER_S / 2.0;
     plan.rates = vec![
         (0.0, base_rate),
-        (from, mesh::SATURATION * scenario.demand_factor),
+        (from, mesh::SATURATION_PER_S * scenario.demand_factor),
         (to, base_rate),
     ];
     plan.slow = vec![
@@ -169,7 +169,7 @@
     row.push(mesh.recovery(to).unwrap_or(f64::INFINITY));
     row.push(mesh.side_share(from, to));
     row.push(mesh.waste());
-    row.push(mesh.most_runs());
+    row.push(mesh.max_runs_per_root());
     row
 }
 
--- a/crates/anvil_core/tests/accounts.rs
+++ b/crates/anvil_core/tests/accounts.rs
@@ -1,4 +1,4 @@
-//! Client accounts at the reducer: who is let in, what the target's calls inherit, whose turn it is.
+//! Client accounts in the reducer: authentication, inheritance by a target's own calls, and quotas.
 
 #![allow(clippy::unwrap_used)]
 
@@ -44,7 +44,7 @@
     mut node: reducer::NodeReducer,
     quota: Option<account::AccountQuota>,
 ) -> reducer::NodeReducer {
-    // What a quota refuses is told at once; the other requests may be sent again.
+    // Without retries, a refusal by the quota reaches the caller at once.
     let retries = if quota.is_some() { 0 } else { 3 };
     assert!(node.adopt_rules(ident::RuleRevision(1), rules(&[KEY], quota, retries)));
     node
@@ -80,15 +80,16 @@
     let effects = node.step(support::at(1), arrival(1, Some(KEY), "9c41", None));
     let account = orders(&effects)[0].account.clone().unwrap();
     assert_eq!(account.as_str(), "defensa");
-    // The target's own call bears no key; it names the request that it is made for.
+    // The target's own call carries no key; it names the request on whose behalf it is made.
     let effects = node.step(support::at(2), arrival(2, None, "9c41.1", Some("9c41")));
     assert_eq!(orders(&effects)[0].account.as_ref(), Some(&account));
 }
 
-// A target goes on with a request while its node is replaced, and its next call comes to a node that
-// knows nothing of it. That is no wrong key: the call is refused as not run, to be made again.
+// A target keeps working on a request while its node is replaced, so its next call reaches a node
+// that does not know the request. The call must be refused as not run, so that it is retried, and
+// not as unauthenticated.
 #[test]
-fn a_call_for_an_unknown_request_is_no_wrong_key() {
+fn a_call_for_an_unknown_request_is_not_unauthenticated() {
     let mut node = with_rules(support::target_node(8), None);
     let effects = node.step(support::at(1), arrival(1, None, "9c41.1", Some("9c41")));
     let reason = verdict::RefusalReason::AccountUnknown;
@@ -97,7 +98,7 @@
 }
 
 #[test]
-fn a_key_that_nobody_holds_is_refused() {
+fn an_unknown_or_missing_key_is_refused() {
     let mut node = with_rules(support::target_node(8), None);
     for (handle, key) in [(1, Some(&b"other"[..])), (2, None)] {
         let effects = node.step(support::at(handle), arrival(handle, key, "9c41", None));
@@ -106,12 +107,12 @@
     }
 }
 
-// A request waits for its retry when an operator takes its key away. It is sent to no target any more.
+// An operator removes a key while a request with it waits for a retry. The retry must not be sent.
 #[test]
-fn a_key_taken_away_stops_a_waiting_retry() {
+fn a_removed_key_stops_a_pending_retry() {
     let mut node = with_rules(support::entry_node(), None);
-    support::learn(&mut node, support::PEER);
-    support::learn(&mut node, ident::NodeId(3));
+    support::add_peer(&mut node, support::PEER);
+    support::add_peer(&mut node, ident::NodeId(3));
     let effects = node.step(support::at(1), arrival(1, Some(KEY), "9c41", None));
     let (peer, call) = support::sent_calls(&effects).remove(0);
     let full = verdict::CallVerdict::NotRun(verdict::RefusalReason::QueueFull);
@@ -122,11 +123,11 @@
     assert_eq!(support::replies(&effects), [(1, UNAUTHENTICATED)]);
 }
 
-// The account's importance goes first, what the rule says of the request next.
+// The account's class takes precedence; the rule's class orders requests within it.
 #[test]
-fn the_class_is_the_accounts_and_the_lane_begins_with_the_rules() {
+fn the_account_sets_the_class_and_the_rule_sets_the_lane_band() {
     let mut node = with_rules(support::entry_node(), None);
-    support::learn(&mut node, support::PEER);
+    support::add_peer(&mut node, support::PEER);
     let effects = node.step(support::at(1), arrival(1, Some(KEY), "9c41", None));
     let (_, call) = support::sent_calls(&effects).remove(0);
     assert_eq!(call.context.class, context::PriorityClass::High);
@@ -137,28 +138,28 @@
     assert!(call.context.lane.0 < 64);
 }
 
-// Two requests a second and a burst of two: the third at once is refused with the time at which there is
-// room. One that a full service refuses gives its token back.
+// The quota is two requests a second with a burst of two. A third request at once is refused with a
+// retry delay. A request that the target refuses returns its token.
 #[test]
-fn a_quota_refuses_what_is_beyond_it_and_takes_back_what_did_not_run() {
+fn a_quota_refuses_excess_requests_and_refunds_those_not_run() {
     let quota = account::AccountQuota::per_second(2, 2);
     let mut node = with_rules(support::target_node(8), Some(quota));
     let over = verdict::CallVerdict::NotRun(verdict::RefusalReason::OverQuota);
-    let told = |effects: &[effect::NodeEffect]| {
+    let first_reply = |effects: &[effect::NodeEffect]| {
         let replies = effects.iter().find_map(|effect| match effect {
             effect::NodeEffect::ReplyCaller { reply, .. } => Some(reply.clone()),
             _ => None,
         });
         replies.unwrap()
     };
-    // No rules were in force before, so the bucket begins with the burst.
+    // No rules were in force before, so the bucket starts with the full burst.
     for handle in 1..=2 {
         let label = format!("{handle}");
         let effects = node.step(support::at(1), arrival(handle, Some(KEY), &label, None));
         assert_eq!(orders(&effects).len(), 1);
     }
     let effects = node.step(support::at(1), arrival(3, Some(KEY), "3", None));
-    let reply = told(&effects);
+    let reply = first_reply(&effects);
     assert_eq!(reply.verdict, over);
     assert!(reply.retry_after.unwrap().as_millis() >= 400);
 
--- a/crates/anvil_core/tests/applying.rs
+++ b/crates/anvil_core/tests/applying.rs
@@ -1,4 +1,4 @@
-//! Operators change the rules through a node and the platform's store.
+//! Rule changes that operators apply through a node and the platform's store.
 
 #![allow(clippy::unwrap_used)]
 
@@ -16,13 +16,13 @@
 
 type OperatorResult = Result<answer::OperatorAnswer, answer::OperatorRefusal>;
 
-/// Nodes of one fleet over one store, with a network that loses nothing.
+/// Nodes of one fleet that share a store, on a network without losses.
 struct StoreFleet {
     nodes: Vec<reducer::NodeReducer>,
     store: fake::FakeStore<(usize, store::StoreId)>,
     now: time::NodeTime,
     answers: Vec<OperatorResult>,
-    /// What is on its way, and to which node.
+    /// Events in transit, each with the index of the node that receives it.
     network: Vec<(usize, event::NodeEvent)>,
 }
 
@@ -45,7 +45,7 @@
 }
 
 impl StoreFleet {
-    /// Starts `count` nodes and lets them learn the rules from the store.
+    /// Starts `count` nodes and lets them read the rules from the store.
     fn start(count: usize) -> Self {
         let mut fleet = Self {
             nodes: (0..count).map(node).collect(),
@@ -58,7 +58,7 @@
         fleet
     }
 
-    /// Runs for so many milliseconds, a wake every ten.
+    /// Runs for `millis` milliseconds and fires every node's timer each 10 ms.
     fn run(&mut self, millis: u64) {
         for _ in 0..millis / 10 {
             self.now = self.now + Duration::from_millis(10);
@@ -78,8 +78,8 @@
         let effects = self.nodes[index].step(self.now, event);
         for effect in effects {
             match effect {
-                effect::NodeEffect::SendStoreRequest { id, request: ask } => {
-                    let outcome = self.store.carry_out(self.now, (index, id), &ask);
+                effect::NodeEffect::SendStoreRequest { id, request } => {
+                    let outcome = self.store.carry_out(self.now, (index, id), &request);
                     if let Some(outcome) = outcome {
                         self.step(index, event::NodeEvent::StoreAnswered { id, outcome });
                     }
@@ -104,7 +104,7 @@
         self.network.push((receiver.unwrap(), event));
     }
 
-    fn ask(&mut self, index: usize, request: event::OperatorRequest) {
+    fn send_request(&mut self, index: usize, request: event::OperatorRequest) {
         let handle = event::OperatorHandle(1);
         self.step(
             index,
@@ -112,7 +112,7 @@
         );
     }
 
-    /// Applies rules through a node; the answer may come later.
+    /// Applies rules through a node; the answer may arrive later.
     fn apply(&mut self, index: usize, text: &str, change: u128, base: u64) {
         let request = event::OperatorRequest::Apply {
             rules: parse::parse_rules("test", text).unwrap(),
@@ -120,23 +120,23 @@
             author: "ana".to_owned(),
             base: ident::RuleRevision(base),
         };
-        self.ask(index, request);
+        self.send_request(index, request);
     }
 
     fn answer(&mut self) -> OperatorResult {
-        assert_eq!(self.answers.len(), 1, "one answer for one question");
+        assert_eq!(self.answers.len(), 1, "expected one answer for one request");
         self.answers.remove(0)
     }
 
-    /// The revision that an apply was accepted as.
-    fn accepted(&mut self) -> u64 {
+    /// The revision under which a change was accepted.
+    fn accepted_revision(&mut self) -> u64 {
         let answer = self.answer().unwrap();
-        let told: Value = serde_json::from_str(&answer.text()).unwrap();
-        told["revision"].as_u64().unwrap()
+        let body: Value = serde_json::from_str(&answer.text()).unwrap();
+        body["revision"].as_u64().unwrap()
     }
 
     fn rules(&mut self, index: usize) -> (String, u64) {
-        self.ask(index, event::OperatorRequest::Rules);
+        self.send_request(index, event::OperatorRequest::Rules);
         let answer = self.answer().unwrap();
         let revision = answer.revision.0;
         (answer.text(), revision)
@@ -147,17 +147,17 @@
 fn an_accepted_change_is_in_force_and_in_the_history() {
     let mut fleet = StoreFleet::start(2);
     fleet.apply(0, FIRST, 0xa, 0);
-    assert_eq!(fleet.accepted(), 1);
+    assert_eq!(fleet.accepted_revision(), 1);
     fleet.run(2_000);
     for index in 0..2 {
         let (text, revision) = fleet.rules(index);
         assert_eq!(revision, 1);
         assert!(text.contains("bids"), "{text}");
     }
-    fleet.ask(0, event::OperatorRequest::Status);
+    fleet.send_request(0, event::OperatorRequest::Status);
     let status: Value = serde_json::from_str(&fleet.answer().unwrap().text()).unwrap();
     assert_eq!(status["rules"]["members"], 2, "{status}");
-    fleet.ask(0, event::OperatorRequest::History);
+    fleet.send_request(0, event::OperatorRequest::History);
     let history: Value = serde_json::from_str(&fleet.answer().unwrap().text()).unwrap();
     assert_eq!(history["changes"][0]["author"], "ana");
     assert_eq!(history["changes"][0]["edits"][0], "put bids at the end");
@@ -165,11 +165,11 @@
 
 #[test]
 fn an_operator_with_an_older_base_is_shown_the_other_change() {
-    // Two operators start from the same revision. The second one applies after the first one's
-    // change is in force; nothing of it may be taken, and the first one's change is shown.
+    // Two operators start from the same revision, and the second one applies after the first one's
+    // change is in force. The second change must be rejected whole, with the first one shown.
     let mut fleet = StoreFleet::start(1);
     fleet.apply(0, FIRST, 0xa, 0);
-    fleet.accepted();
+    fleet.accepted_revision();
     fleet.apply(0, SECOND, 0xb, 0);
     let refusal = fleet.answer().unwrap_err();
     let answer::OperatorRefusal::Conflict {
@@ -183,9 +183,9 @@
 }
 
 #[test]
-fn of_two_racing_operators_one_is_shown_the_change_that_won() {
-    // Two operators apply through two nodes at the same moment, neither of which knows of the
-    // other's change yet. The store takes one; the other operator is told which.
+fn the_loser_of_two_concurrent_changes_is_shown_the_accepted_one() {
+    // Two operators apply through two nodes at the same time, before either node has seen the
+    // other's change. The store accepts one; the other operator is shown that change.
     let mut fleet = StoreFleet::start(2);
     fleet.apply(0, FIRST, 0xa, 0);
     fleet.apply(1, SECOND, 0xb, 0);
@@ -199,33 +199,33 @@
 }
 
 #[test]
-fn a_change_sent_again_under_its_id_is_made_once() {
-    // The operator never got the answer and sends the change again. Meanwhile another one was
-    // accepted, which a second run of the first would undo.
+fn a_change_resent_under_its_id_is_applied_once() {
+    // The operator never received the answer and sends the change again. Another change was
+    // accepted in between, and applying the first one twice would undo it.
     let mut fleet = StoreFleet::start(1);
     fleet.apply(0, FIRST, 0xa, 0);
-    fleet.accepted();
+    fleet.accepted_revision();
     fleet.apply(0, SECOND, 0xb, 1);
-    fleet.accepted();
+    fleet.accepted_revision();
     fleet.apply(0, FIRST, 0xa, 2);
-    assert_eq!(fleet.accepted(), 1);
+    assert_eq!(fleet.accepted_revision(), 1);
     let (text, revision) = fleet.rules(0);
     assert_eq!(revision, 2);
     assert!(text.contains("awards"), "{text}");
 }
 
 #[test]
-fn an_answer_of_the_store_lost_behind_the_write_is_told_as_accepted() {
+fn a_write_whose_store_answer_is_lost_is_reported_as_accepted() {
     let mut fleet = StoreFleet::start(1);
     fleet.store.faults.lost_answers = 100;
     fleet.apply(0, FIRST, 0xa, 0);
     fleet.store.faults.lost_answers = 0;
     fleet.run(5_000);
-    assert_eq!(fleet.accepted(), 1);
+    assert_eq!(fleet.accepted_revision(), 1);
 }
 
 #[test]
-fn while_the_store_is_down_nothing_is_applied_and_the_operator_is_told() {
+fn a_change_is_refused_as_not_applied_while_the_store_is_down() {
     let mut fleet = StoreFleet::start(1);
     fleet.store.faults.down = true;
     fleet.apply(0, FIRST, 0xa, 0);
@@ -241,10 +241,10 @@
 }
 
 #[test]
-fn rules_in_force_already_make_no_revision() {
+fn rules_that_are_already_in_force_create_no_revision() {
     let mut fleet = StoreFleet::start(1);
     fleet.apply(0, FIRST, 0xa, 0);
-    fleet.accepted();
+    fleet.accepted_revision();
     fleet.apply(0, FIRST, 0xb, 1);
-    assert_eq!(fleet.accepted(), 1);
+    assert_eq!(fleet.accepted_revision(), 1);
 }
--- a/crates/anvil_core/tests/broken_links.rs
+++ b/crates/anvil_core/tests/broken_links.rs
@@ -1,9 +1,10 @@
-//! Connections that end between two nodes which both live on.
+//! Connections that break between two nodes which both keep running.
 //!
-//! A caller's request is out at another node when the connection between the two is reset, or is given
-//! up as silent. Ended as "may have run", it would be lost although its target works on, or has answered
-//! already; at a stopping node, planned work would have cost it. So the entry node asks the target's node
-//! over a new connection, and only a process that is gone, or the deadline, ends the call in doubt.
+//! A request is in flight to another node when the connection is reset, or is closed because it is
+//! silent. Ending the call as "may have run" would lose it although its target is still working or
+//! has answered, also during a planned stop. So the entry node queries the target's node over a new
+//! connection, and a call ends as "may have run" only if the process has died or the deadline
+//! passes.
 
 #![allow(clippy::unwrap_used)]
 
@@ -15,7 +16,7 @@
 use anvil_types::{ident, verdict};
 use anvil_wire::{frame, outcome};
 
-/// Runs of the target's node that have come to their end, and those that were cancelled.
+/// Runs that the target's node started, and those that it cancelled.
 #[derive(Debug, Default)]
 struct TargetRecord {
     started: Vec<event::RunId>,
@@ -27,27 +28,27 @@
     now: u64,
     entry: reducer::NodeReducer,
     serving: reducer::NodeReducer,
-    /// Frames under way, with their receiver.
-    way: VecDeque<(ident::NodeId, frame::PeerFrame)>,
+    /// Frames in transit, with their receiver.
+    in_transit: VecDeque<(ident::NodeId, frame::PeerFrame)>,
     runs: TargetRecord,
-    told: Vec<(u64, verdict::CallVerdict)>,
-    /// Nodes whose process is gone: nobody accepts connections there.
-    gone: Vec<ident::NodeId>,
+    replies: Vec<(u64, verdict::CallVerdict)>,
+    /// Nodes whose process has exited, so that connections to them are refused.
+    dead: Vec<ident::NodeId>,
 }
 
 impl LinkedPair {
-    /// A target of `slots` slots at the node beside it, and a node without one.
+    /// An entry node without a target, and a node with a target of `slots` slots.
     fn new(slots: u32) -> Self {
         let mut entry = support::entry_node();
-        support::learn(&mut entry, support::PEER);
+        support::add_peer(&mut entry, support::PEER);
         Self {
             now: 1,
             entry,
-            serving: support::with_target(support::node_of(support::PEER), slots),
-            way: VecDeque::new(),
+            serving: support::with_target(support::node_with_id(support::PEER), slots),
+            in_transit: VecDeque::new(),
             runs: TargetRecord::default(),
-            told: Vec::new(),
-            gone: Vec::new(),
+            replies: Vec::new(),
+            dead: Vec::new(),
         }
     }
 
@@ -65,23 +66,25 @@
 
     fn carry_out(&mut self, node: ident::NodeId, effect: effect::NodeEffect) {
         match effect {
-            effect::NodeEffect::SendFrame { peer, frame, .. } if self.gone.contains(&peer) => {
+            effect::NodeEffect::SendFrame { peer, frame, .. } if self.dead.contains(&peer) => {
                 let unsent = vec![frame];
                 self.step(node, event::NodeEvent::PeerUnreachable { peer, unsent });
             }
-            effect::NodeEffect::SendFrame { peer, frame, .. } => self.way.push_back((peer, frame)),
+            effect::NodeEffect::SendFrame { peer, frame, .. } => {
+                self.in_transit.push_back((peer, frame));
+            }
             effect::NodeEffect::RunTarget(order) => self.runs.started.push(order.run),
-            effect::NodeEffect::Exit => self.gone.push(node),
+            effect::NodeEffect::Exit => self.dead.push(node),
             effect::NodeEffect::CancelRun(run) => self.runs.cancelled.push(run),
             effect::NodeEffect::ReplyCaller { handle, reply } => {
-                self.told.push((handle.0, reply.verdict));
+                self.replies.push((handle.0, reply.verdict));
             }
             _ => {}
         }
     }
 
-    /// Lets a node act whenever it asks to, up to `span` milliseconds from now, and delivers its frames.
-    fn wait(&mut self, node: ident::NodeId, span: u64) {
+    /// Fires a node's timers that are due within `span` milliseconds, and delivers its frames.
+    fn fire_timers(&mut self, node: ident::NodeId, span: u64) {
         let until = support::at(self.now + span);
         loop {
             let reducer = match node {
@@ -101,9 +104,9 @@
         self.step(support::NODE, support::arrival(handle, method));
     }
 
-    /// Delivers all frames under way, and those that they bring about.
+    /// Delivers all frames in transit, and those sent in response.
     fn deliver(&mut self) {
-        while let Some((to, frame)) = self.way.pop_front() {
+        while let Some((to, frame)) = self.in_transit.pop_front() {
             let peer = match to {
                 support::NODE => support::PEER,
                 _ => support::NODE,
@@ -112,18 +115,18 @@
         }
     }
 
-    /// The connection ends and takes along what is under way; both nodes live on.
-    fn cut(&mut self) {
-        self.way.clear();
+    /// Breaks the connection; frames in transit are lost and both nodes keep running.
+    fn disconnect(&mut self) {
+        self.in_transit.clear();
         let (entry, serving) = (support::NODE, support::PEER);
         self.step(entry, event::NodeEvent::ConnectionLost { peer: serving });
         self.step(serving, event::NodeEvent::ConnectionLost { peer: entry });
     }
 
-    /// The process of a node is gone, and with it the connection.
-    fn lose(&mut self, node: ident::NodeId) {
-        self.gone.push(node);
-        self.way.clear();
+    /// Kills the process of a node, which also breaks the connection.
+    fn kill(&mut self, node: ident::NodeId) {
+        self.dead.push(node);
+        self.in_transit.clear();
         let other = match node {
             support::NODE => support::PEER,
             _ => support::NODE,
@@ -131,73 +134,73 @@
         self.step(other, event::NodeEvent::ConnectionLost { peer: node });
     }
 
-    fn end_run(&mut self, at: usize) {
-        let run = self.runs.started[at];
-        let outcome = support::whole();
+    fn end_run(&mut self, index: usize) {
+        let run = self.runs.started[index];
+        let outcome = support::answered();
         self.step(support::PEER, event::NodeEvent::RunEnded { run, outcome });
     }
 
     fn verdict(&self, handle: u64) -> Option<verdict::CallVerdict> {
-        let told = self.told.iter().find(|(told, _)| *told == handle);
-        told.map(|(_, verdict)| *verdict)
+        let reply = self.replies.iter().find(|(replied, _)| *replied == handle);
+        reply.map(|(_, verdict)| *verdict)
     }
 }
 
-/// How far the request has come when the connection ends.
+/// The state of the request when the connection breaks.
 #[derive(Clone, Copy, Debug)]
-enum CutStage {
-    /// Its frame is under way.
+enum CallStage {
+    /// Its frame is in transit.
     Sent,
-    /// It waits at the target's node, behind another.
+    /// It is queued at the target's node, behind another request.
     Queued,
-    /// Its target is at work.
+    /// Its target is running it.
     Running,
-    /// Its answer is under way.
+    /// Its answer is in transit.
     Answered,
 }
 
-// A clerk's claim, or a citizen's lookup, is out when the connection ends. Its caller gets the answer of
-// the one run, or hears truly that nothing ran; the run is not cancelled, and there is no second one.
-fn check_cut(stage: CutStage, method: &str, stopping: bool, cuts: usize) {
-    let slots = if matches!(stage, CutStage::Queued) {
+// A claim or a lookup is in flight when the connection breaks. Its caller must get the answer of
+// its only run; the run must be neither cancelled nor repeated.
+fn check_disconnect(stage: CallStage, method: &str, stopping: bool, disconnects: usize) {
+    let slots = if matches!(stage, CallStage::Queued) {
         1
     } else {
         8
     };
     let mut pair = LinkedPair::new(slots);
-    if matches!(stage, CutStage::Queued) {
+    if matches!(stage, CallStage::Queued) {
         pair.call(9, "POST");
         pair.deliver();
     }
     pair.call(1, method);
-    if !matches!(stage, CutStage::Sent) {
+    if !matches!(stage, CallStage::Sent) {
         pair.deliver();
     }
-    if matches!(stage, CutStage::Answered) {
+    if matches!(stage, CallStage::Answered) {
         pair.end_run(0);
     }
     if stopping {
         pair.step(support::NODE, event::NodeEvent::StopRequested);
     }
-    for _ in 0..cuts {
-        pair.cut();
+    for _ in 0..disconnects {
+        pair.disconnect();
     }
     pair.deliver();
-    if !matches!(stage, CutStage::Answered) {
-        let told = pair.verdict(1);
-        assert_eq!(told, None, "given up although its target was at work");
+    if !matches!(stage, CallStage::Answered) {
+        let verdict = pair.verdict(1);
+        assert_eq!(verdict, None, "ended although its target was still working");
     }
-    // One that never came is sent again, and runs then.
-    for at in 0..pair.runs.started.len() {
-        pair.end_run(at);
+    // A call that never arrived is sent again and runs then.
+    for index in 0..pair.runs.started.len() {
+        pair.end_run(index);
         pair.deliver();
     }
-    let runs = if matches!(stage, CutStage::Queued) {
+    let runs = if matches!(stage, CallStage::Queued) {
         2
     } else {
         1
     };
-    if matches!(stage, CutStage::Queued) {
+    if matches!(stage, CallStage::Queued) {
         pair.end_run(1);
         pair.deliver();
     }
@@ -206,23 +209,25 @@
     assert_eq!(pair.verdict(1), Some(verdict::CallVerdict::Answered));
 }
 
-// A claim's frame stands unread in the connection that ended, and the target's node says that the claim
-// never came, so it is sent again. The frame is read a moment later: it must start nothing.
+// A claim's frame is still unread when its connection breaks. The target's node reports that the
+// claim never arrived, so it is sent again. If the late frame is then read, it must not start a
+// second run.
 #[test]
 fn a_frame_that_comes_behind_its_fate_runs_nothing() {
     let mut pair = LinkedPair::new(8);
     pair.call(1, "POST");
-    let late = pair.way.pop_front().unwrap();
-    pair.cut();
+    let late = pair.in_transit.pop_front().unwrap();
+    pair.disconnect();
     pair.deliver();
     assert_eq!(pair.runs.started.len(), 1);
-    pair.way.push_back(late);
+    pair.in_transit.push_back(late);
     pair.deliver();
     assert_eq!(pair.runs.started.len(), 1);
 }
 
-// A claim is answered, and its node is suspended before the answer is read, longer than it remembers what
-// came. It can't say then that the claim never came: that would file it twice.
+// A claim is answered, and the target's node is suspended before the answer is read, for longer
+// than it remembers attempts. It must not report that the claim never arrived, since the claim
+// would then be filed twice.
 #[test]
 fn a_suspended_node_denies_no_run() {
     let mut pair = LinkedPair::new(8);
@@ -230,7 +235,7 @@
     pair.deliver();
     pair.end_run(0);
     pair.now += 200_000;
-    pair.way.clear();
+    pair.in_transit.clear();
     pair.call(2, "POST");
     pair.deliver();
     pair.end_run(1);
@@ -241,7 +246,7 @@
         },
         attempt: 1,
     };
-    let ask = outcome::OutcomeMessage::Query {
+    let query = outcome::OutcomeMessage::Query {
         reply_to: support::address(7_000),
         attempts: vec![outcome::QueriedAttempt {
             id,
@@ -249,64 +254,65 @@
             idempotent: false,
         }],
     };
-    let frame = frame::PeerFrame::Outcome(Box::new(ask));
+    let frame = frame::PeerFrame::Outcome(Box::new(query));
     let peer = support::NODE;
     pair.step(
         support::PEER,
         event::NodeEvent::FrameArrived { peer, frame },
     );
-    let answers = pair.way.iter().filter_map(|(_, frame)| match frame {
+    let answers = pair.in_transit.iter().filter_map(|(_, frame)| match frame {
         frame::PeerFrame::Answer(answer) if answer.call == id.call => Some(answer.verdict),
         _ => None,
     });
-    let doubt = verdict::CallVerdict::MayHaveRun(verdict::UncertaintyReason::ConnectionLost);
-    assert_eq!(answers.collect::<Vec<_>>(), [doubt]);
+    let may_have_run = verdict::CallVerdict::MayHaveRun(verdict::UncertaintyReason::ConnectionLost);
+    assert_eq!(answers.collect::<Vec<_>>(), [may_have_run]);
 }
 
 anvil_testkit::test_cases! {
-    check_cut:
-    claim_sent => (CutStage::Sent, "POST", false, 1),
-    claim_queued => (CutStage::Queued, "POST", false, 1),
-    claim_running => (CutStage::Running, "POST", false, 1),
-    claim_answered => (CutStage::Answered, "POST", false, 1),
-    lookup_sent => (CutStage::Sent, "GET", false, 1),
-    lookup_queued => (CutStage::Queued, "GET", false, 1),
-    lookup_running => (CutStage::Running, "GET", false, 1),
-    lookup_answered => (CutStage::Answered, "GET", false, 1),
-    claim_running_at_a_stop => (CutStage::Running, "POST", true, 1),
-    claim_answered_at_a_stop => (CutStage::Answered, "POST", true, 1),
-    lookup_running_at_a_stop => (CutStage::Running, "GET", true, 1),
-    claim_running_two_cuts => (CutStage::Running, "POST", false, 2),
-    claim_answered_two_cuts => (CutStage::Answered, "POST", true, 2),
+    check_disconnect:
+    claim_sent => (CallStage::Sent, "POST", false, 1),
+    claim_queued => (CallStage::Queued, "POST", false, 1),
+    claim_running => (CallStage::Running, "POST", false, 1),
+    claim_answered => (CallStage::Answered, "POST", false, 1),
+    lookup_sent => (CallStage::Sent, "GET", false, 1),
+    lookup_queued => (CallStage::Queued, "GET", false, 1),
+    lookup_running => (CallStage::Running, "GET", false, 1),
+    lookup_answered => (CallStage::Answered, "GET", false, 1),
+    claim_running_at_a_stop => (CallStage::Running, "POST", true, 1),
+    claim_answered_at_a_stop => (CallStage::Answered, "POST", true, 1),
+    lookup_running_at_a_stop => (CallStage::Running, "GET", true, 1),
+    claim_running_two_disconnects => (CallStage::Running, "POST", false, 2),
+    claim_answered_two_disconnects => (CallStage::Answered, "POST", true, 2),
 }
 
-// The target's node is gone with its machine. The clerk hears so as soon as nobody accepts a connection
-// there, and not at the deadline seconds later.
+// The target's node dies with its machine. The caller must be told as soon as connections to it are
+// refused, and not at the deadline seconds later.
 #[test]
-fn a_lost_process_still_ends_its_calls_at_once() {
+fn a_dead_process_ends_its_calls_at_once() {
     let mut pair = LinkedPair::new(8);
     pair.call(1, "POST");
     pair.deliver();
-    pair.lose(support::PEER);
+    pair.kill(support::PEER);
     let lost = verdict::CallVerdict::MayHaveRun(verdict::UncertaintyReason::NodeLost);
     assert_eq!(pair.verdict(1), Some(lost));
     assert!(pair.now < 100, "{}", pair.now);
 }
 
-// The entry node is gone, so nobody can take the answer. The target's slot is free again at once.
+// The entry node has died, so nobody can receive the answer. The target's slot must be freed at
+// once.
 #[test]
-fn the_runs_of_a_lost_process_are_cancelled_at_once() {
+fn the_runs_of_a_dead_process_are_cancelled_at_once() {
     let mut pair = LinkedPair::new(8);
     pair.call(1, "POST");
     pair.deliver();
-    pair.lose(support::NODE);
+    pair.kill(support::NODE);
     assert_eq!(pair.runs.cancelled, pair.runs.started);
 }
 
-// A caller leaves, and the word of it is lost with the connection. Its run ends all the same, since the
-// target's node tells what it still holds, and nobody wants it.
+// A caller disconnects, and the cancellation is lost with the connection. The run must still end:
+// the target's node reports its pending attempts, and the entry node no longer wants this one.
 #[test]
-fn a_cancellation_lost_with_its_connection_is_made_good() {
+fn a_cancellation_lost_with_its_connection_still_takes_effect() {
     let mut pair = LinkedPair::new(8);
     pair.call(1, "GET");
     pair.deliver();
@@ -315,22 +321,23 @@
         support::NODE,
         event::NodeEvent::CallerDisconnected { handle },
     );
-    pair.cut();
+    pair.disconnect();
     pair.deliver();
     assert_eq!(pair.runs.cancelled, pair.runs.started);
 }
 
-/// What was lost in a connection that nobody knows to be silent.
+/// What was lost in a connection whose silence has not been detected.
 #[derive(Clone, Copy, Debug)]
 enum SilentLoss {
     Call,
     Answer,
 }
 
-// A connection has gone silent without a sign, and took a claim, or the answer to it, along. The
-// target's node is then stopped as planned, and has nothing to do any more. Before it ends it asks those
-// that called; the clerk hears the answer, or the claim goes to another target, as it never ran.
-fn check_leaving(loss: SilentLoss) {
+// A connection goes silent unnoticed and loses a claim or its answer. The target's node, which has
+// no other work, is then stopped as planned. Before it exits it asks its callers for confirmation,
+// so that the caller gets the answer, or is told that the claim never ran and may go to another
+// target.
+fn check_planned_stop(loss: SilentLoss) {
     let mut pair = LinkedPair::new(8);
     pair.call(9, "POST");
     pair.deliver();
@@ -341,16 +348,18 @@
         pair.deliver();
         pair.end_run(1);
     }
-    pair.way.clear();
+    pair.in_transit.clear();
     pair.step(support::PEER, event::NodeEvent::StopRequested);
-    pair.wait(support::PEER, 4_000);
-    assert_eq!(pair.gone, [support::PEER]);
+    pair.fire_timers(support::PEER, 4_000);
+    assert_eq!(pair.dead, [support::PEER]);
     match (loss, pair.verdict(1)) {
-        (SilentLoss::Answer, told) => assert_eq!(told, Some(verdict::CallVerdict::Answered)),
-        (SilentLoss::Call, told) => {
+        (SilentLoss::Answer, verdict) => {
+            assert_eq!(verdict, Some(verdict::CallVerdict::Answered));
+        }
+        (SilentLoss::Call, verdict) => {
             assert!(
-                matches!(told, Some(verdict::CallVerdict::NotRun(_))),
-                "{told:?}"
+                matches!(verdict, Some(verdict::CallVerdict::NotRun(_))),
+                "{verdict:?}"
             );
             assert_eq!(pair.runs.started.len(), 1);
         }
@@ -358,22 +367,22 @@
 }
 
 anvil_testkit::test_cases! {
-    check_leaving:
-    with_a_claim_lost => (SilentLoss::Call),
-    with_an_answer_lost => (SilentLoss::Answer),
+    check_planned_stop:
+    with_its_claim_lost => (SilentLoss::Call),
+    with_its_answer_lost => (SilentLoss::Answer),
 }
 
-// Its caller's node is gone, and nobody answers the last word. The stop takes no longer for that than
-// its limit.
+// The caller's node has died, so nobody answers the shutdown handshake. The stop must end within
+// its time limit all the same.
 #[test]
-fn a_leaving_node_waits_for_no_lost_process() {
+fn a_stopping_node_does_not_wait_for_a_dead_process() {
     let mut pair = LinkedPair::new(8);
     pair.call(1, "POST");
     pair.deliver();
     pair.end_run(0);
     pair.deliver();
-    pair.gone.push(support::NODE);
+    pair.dead.push(support::NODE);
     pair.step(support::PEER, event::NodeEvent::StopRequested);
-    pair.wait(support::PEER, 2_000);
-    assert_eq!(pair.gone, [support::NODE, support::PEER]);
+    pair.fire_timers(support::PEER, 2_000);
+    assert_eq!(pair.dead, [support::NODE, support::PEER]);
 }
--- a/crates/anvil_core/tests/fleet.rs
+++ b/crates/anvil_core/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Membership and the store as the callers of one reducer feel them.
+//! Effects of membership and the store on the callers of one reducer.
 
 #![allow(clippy::unwrap_used)]
 
@@ -11,8 +11,8 @@
 
 use support::{PEER, address, arrival, at, service};
 
-/// Wakes the node each hundredth of a second and lets `store` answer, until `end`.
-fn live(
+/// Fires the node's timer every 10 ms of `millis` and lets `store` answer its requests.
+fn run(
     node: &mut reducer::NodeReducer,
     store: &mut fake::FakeStore<store::StoreId>,
     millis: std::ops::Range<u64>,
@@ -20,10 +20,10 @@
     for now in millis.step_by(10) {
         let mut effects = node.step(at(now), event::NodeEvent::TimerFired);
         while let Some(effect) = effects.pop() {
-            let effect::NodeEffect::SendStoreRequest { id, request: ask } = effect else {
+            let effect::NodeEffect::SendStoreRequest { id, request } = effect else {
                 continue;
             };
-            if let Some(outcome) = store.carry_out(at(now), id, &ask) {
+            if let Some(outcome) = store.carry_out(at(now), id, &request) {
                 let answered = event::NodeEvent::StoreAnswered { id, outcome };
                 effects.extend(node.step(at(now), answered));
             }
@@ -39,7 +39,7 @@
     })
 }
 
-fn rumour(standing: gossip::MemberStatus) -> event::NodeEvent {
+fn rumour(status: gossip::MemberStatus) -> event::NodeEvent {
     let head = gossip::GossipHead {
         from: ident::NodeId(9),
         incarnation: 0,
@@ -49,7 +49,7 @@
     let updates = vec![gossip::MemberUpdate {
         node: PEER,
         incarnation: 3,
-        status: standing,
+        status,
     }];
     let kind = gossip::GossipKind::Rumour;
     event::NodeEvent::DatagramArrived {
@@ -75,30 +75,31 @@
     }))
 }
 
-// The caller of a fresh node is told "not run" while the store is down, since the node can't know
-// whether its rules are old. The store comes back, the log is read to its end, and the next
-// request is decided by the rules.
+// A node that starts while the store is down can't know whether its rules are current, so it must
+// answer "not run". Once the store is back and the rule log has been read, requests are decided by
+// the rules.
 #[test]
 fn a_fresh_node_refuses_until_it_has_compared_its_rules() {
     let mut node = support::target_node(4).with_store();
     let mut store = fake::FakeStore::new(1);
     store.faults.down = true;
-    live(&mut node, &mut store, 10..8_000);
+    run(&mut node, &mut store, 10..8_000);
     let unknown = verdict::CallVerdict::NotRun(verdict::RefusalReason::RulesUnknown);
     assert_eq!(verdict_of(&mut node, 8_000), Some(unknown));
     store.faults.down = false;
-    live(&mut node, &mut store, 8_010..30_000);
+    run(&mut node, &mut store, 8_010..30_000);
     assert_eq!(verdict_of(&mut node, 30_000), None, "the request runs");
 }
 
-// The instance with the target loses its power, so no connection closes. The caller whose request
-// was out learns that it may have run within a quarter of a second of membership's word, in which nobody
-// has answered for it, long before its deadline; the next request finds no target and is told "not run".
+// The target's instance loses power, so no connection closes. Within a quarter of a second after
+// membership declares it dead, if nobody has answered for it, the caller in flight must be told
+// that its request may have run, long before its deadline. The next request finds no target and is
+// "not run".
 #[test]
 fn a_request_at_a_member_that_crashed_may_have_run() {
     let mut node = support::entry_node();
     node.step(at(5), rumour(alive()));
-    assert_eq!(verdict_of(&mut node, 10), None, "the request is out");
+    assert_eq!(verdict_of(&mut node, 10), None, "the request is in flight");
     let mut effects = node.step(at(900), rumour(gossip::MemberStatus::Dead));
     let next = verdict_of(&mut node, 910);
     assert!(
@@ -106,12 +107,12 @@
         "{next:?}"
     );
     effects.extend(support::run_until(&mut node, at(1_160)));
-    let told = effects.iter().find_map(|effect| match effect {
+    let reported = effects.iter().find_map(|effect| match effect {
         effect::NodeEffect::ReplyCaller { reply, .. } => Some(reply.verdict),
         _ => None,
     });
     assert!(
-        matches!(told, Some(verdict::CallVerdict::MayHaveRun(_))),
-        "{told:?}"
+        matches!(reported, Some(verdict::CallVerdict::MayHaveRun(_))),
+        "{reported:?}"
     );
 }
--- a/crates/anvil_core/tests/keyed.rs
+++ b/crates/anvil_core/tests/keyed.rs
@@ -1,4 +1,4 @@
-//! Keyed claims through whole reducers, real membership and the fake store.
+//! Claims with idempotency keys through complete reducers, real membership and the fake store.
 
 #![allow(clippy::unwrap_used)]
 
@@ -9,9 +9,9 @@
 use anvil_types::verdict;
 use keyed_fleet::KeyedFleet;
 
-// A citizen's browser sends a claim twice, the second time to another node, while the first copy
-// is running, and a third time later. One case is filed. The second copy is told that the first
-// is running; the third gets the answer of the first, kept by the key's owner.
+// A browser sends a claim to one node, again to another node while the first copy is running, and a
+// third time later. The claim must run once. The second copy is answered as in progress; the third
+// gets the answer of the first, which the key's owner has cached.
 #[test]
 fn claim_sent_to_two_nodes_runs_once() {
     let mut fleet = KeyedFleet::start(4);
@@ -23,15 +23,14 @@
     let third = fleet.submit(nodes[2], "claim-1");
     fleet.run(Duration::from_secs(1));
     assert_eq!(fleet.runs.len(), 1);
-    assert_eq!(fleet.told(first).verdict, verdict::CallVerdict::Answered);
+    assert_eq!(fleet.reply(first).verdict, verdict::CallVerdict::Answered);
     let running = verdict::CallVerdict::MayHaveRun(verdict::UncertaintyReason::InProgress);
-    assert_eq!(fleet.told(second).verdict, running);
-    assert_eq!(fleet.told(third).verdict, verdict::CallVerdict::Answered);
-    assert_eq!(fleet.told(third).body, fleet.told(first).body);
+    assert_eq!(fleet.reply(second).verdict, running);
+    assert_eq!(fleet.reply(third).verdict, verdict::CallVerdict::Answered);
+    assert_eq!(fleet.reply(third).body, fleet.reply(first).body);
 }
 
-// The same without owners of keys, as a naive version would have it: the claim is filed twice, and
-// the citizen gets two case numbers.
+// The comparison without key owners: the claim is filed twice.
 #[test]
 fn without_owners_the_same_claim_runs_twice() {
     let mut fleet = KeyedFleet::without_store(4);
@@ -39,11 +38,11 @@
     fleet.submit(nodes[0], "claim-1");
     fleet.submit(nodes[1], "claim-1");
     fleet.run(Duration::from_secs(1));
-    assert_eq!(fleet.most_runs(), 2);
+    assert_eq!(fleet.max_runs_per_key(), 2);
 }
 
-// The store is out for ten minutes while claims go on and are resent. All are answered, because
-// owners grant without the store; nothing is refused.
+// The store is down for ten minutes while claims are sent and resent. All must be answered, because
+// owners grant keys without the store.
 #[test]
 fn store_outage_of_ten_minutes_refuses_no_claim() {
     let mut fleet = KeyedFleet::start(4);
@@ -62,15 +61,15 @@
     let answered = verdict::CallVerdict::Answered;
     let refused = handles
         .iter()
-        .filter(|handle| fleet.told(**handle).verdict != answered);
+        .filter(|handle| fleet.reply(**handle).verdict != answered);
     assert_eq!(refused.count(), 0);
-    assert_eq!(fleet.most_runs(), 1);
+    assert_eq!(fleet.max_runs_per_key(), 1);
     assert_eq!(fleet.runs.len(), 600);
 }
 
-// One of four nodes crashes under a steady stream of claims. Claims whose owner it was wait for
-// the takeover; a few that were running at its target end in doubt. No claim runs twice, though
-// every caller that was not answered sends its claim again to another node.
+// One of four nodes crashes under a steady load of claims. Claims whose keys it owned wait for the
+// takeover, and a few that were running at its target end as "may have run". No claim may run
+// twice, although every caller without an answer sends its claim again to another node.
 #[test]
 fn crash_of_one_owner_of_four() {
     let mut fleet = KeyedFleet::start(4);
@@ -88,25 +87,28 @@
     let mut resent = Vec::new();
     let mut waited = Duration::ZERO;
     let mut refused = 0;
-    let mut doubtful = 0;
+    let mut uncertain = 0;
     for (step, at, handle) in sent {
-        let told = fleet.told(handle).clone();
-        waited = waited.max(told.at.since(at));
-        match told.verdict {
+        let reply = fleet.reply(handle).clone();
+        waited = waited.max(reply.at.since(at));
+        match reply.verdict {
             verdict::CallVerdict::Answered => continue,
             verdict::CallVerdict::NotRun(_) => refused += 1,
-            verdict::CallVerdict::MayHaveRun(_) => doubtful += 1,
+            verdict::CallVerdict::MayHaveRun(_) => uncertain += 1,
         }
         resent.push(fleet.submit(nodes[(step + 1) % 3], &format!("claim-{step}")));
     }
     println!(
-        "of 2000 claims in 20 s: refused {refused}, in doubt {doubtful}, longest wait {waited:?}"
+        "of 2000 claims in 20 s: refused {refused}, may have run {uncertain}, longest wait {waited:?}"
+    );
+    assert_eq!(
+        refused, 0,
+        "claims were refused although an owner took over"
     );
-    assert_eq!(refused, 0, "claims given up though an owner took over");
     fleet.run(Duration::from_secs(10));
-    assert_eq!(fleet.most_runs(), 1);
+    assert_eq!(fleet.max_runs_per_key(), 1);
     for handle in resent {
-        let verdict = fleet.told(handle).verdict;
+        let verdict = fleet.reply(handle).verdict;
         assert!(
             !matches!(verdict, verdict::CallVerdict::NotRun(_)),
             "{verdict:?}"
@@ -114,9 +116,10 @@
     }
 }
 
-// An owner crashes while the store is out. Keys of its slots can't be granted: no third node may
-// learn of a change that is not in the store. Their callers are told so at once, as not run, and
-// the rest goes on. Once the store is back, the same keys are answered, each with one run.
+// An owner crashes while the store is down. The keys of its slots can't be granted, since a change
+// of owners takes effect only through the store. Their callers must be refused at once as not run,
+// and all other keys continue. Once the store is back, the same keys are answered, each with one
+// run.
 #[test]
 fn crash_in_a_store_outage_refuses_at_once() {
     let mut fleet = KeyedFleet::start(4);
@@ -139,9 +142,9 @@
     let mut refused = 0;
     let mut waited = Duration::ZERO;
     for (at, handle) in claims(&mut fleet) {
-        let told = fleet.told(handle);
-        waited = waited.max(told.at.since(at));
-        match told.verdict {
+        let reply = fleet.reply(handle);
+        waited = waited.max(reply.at.since(at));
+        match reply.verdict {
             verdict::CallVerdict::Answered => {}
             verdict::CallVerdict::NotRun(verdict::RefusalReason::KeyUnavailable) => refused += 1,
             other => panic!("{other:?}"),
@@ -153,47 +156,50 @@
     fleet.store.faults.down = false;
     fleet.run(Duration::from_secs(10));
     for (_, handle) in claims(&mut fleet) {
-        assert_eq!(fleet.told(handle).verdict, verdict::CallVerdict::Answered);
+        assert_eq!(fleet.reply(handle).verdict, verdict::CallVerdict::Answered);
     }
     assert_eq!(fleet.runs.len(), 400);
-    assert_eq!(fleet.most_runs(), 1);
+    assert_eq!(fleet.max_runs_per_key(), 1);
 }
 
-// A node has just started, and no owner of keys has heard of it yet: rumours take a second or two to
-// reach everybody. Citizens file claims through it. Its questions reach the owners, which answer
-// where the questions came from; an owner that waited to hear of the node would let claims wait until
-// their callers give up.
+// A node has just started and is still unknown to all key owners, since rumours take a second or
+// two to reach every member. Claims through it must be filed: owners answer to the address that the
+// requests came from. If they waited to learn of the node first, claims would wait until their
+// callers gave up.
 #[test]
-fn claims_through_a_node_that_no_owner_has_heard_of_are_filed() {
+fn claims_through_a_node_unknown_to_all_owners_are_filed() {
     let mut fleet = KeyedFleet::start(4);
     fleet.add(4);
-    let newborn = *fleet.nodes().last().unwrap();
-    fleet.unheard = Some(newborn);
+    let new_node = *fleet.nodes().last().unwrap();
+    fleet.hidden = Some(new_node);
     fleet.run(Duration::from_secs(5));
     let sent: Vec<_> = (0..40)
-        .map(|claim| fleet.submit(newborn, &format!("claim-{claim}")))
+        .map(|claim| fleet.submit(new_node, &format!("claim-{claim}")))
         .collect();
     fleet.run(Duration::from_secs(2));
     let answered = |handle: &&u64| {
-        let mut told = fleet.told.iter().filter(|told| told.handle == **handle);
-        told.any(|told| told.verdict == verdict::CallVerdict::Answered)
+        let mut replies = fleet
+            .replies
+            .iter()
+            .filter(|reply| reply.handle == **handle);
+        replies.any(|reply| reply.verdict == verdict::CallVerdict::Answered)
     };
     assert_eq!(sent.iter().filter(answered).count(), sent.len());
-    assert_eq!(fleet.most_runs(), 1);
+    assert_eq!(fleet.max_runs_per_key(), 1);
 }
 
-// Nodes are restarted one after the other, 200 times, while claims go on. No claim is cut, none is
-// refused and none runs twice, because a stopping node hands its slots to their backups first. A
-// second copy sent a moment later gets the answer, or hears that the first copy is in progress.
+// Nodes are restarted one after the other, 200 times, under a load of claims. No claim may be cut,
+// refused or run twice, because a stopping node first hands its slots to their backups. A second
+// copy sent 100 ms later gets the answer, or is answered as in progress.
 #[test]
 fn planned_restarts_cut_no_claim() {
     let mut fleet = KeyedFleet::start(4);
     let (mut firsts, mut seconds) = (Vec::new(), Vec::new());
     for round in 0..200 {
         let nodes = fleet.nodes();
-        let (leaving, others) = nodes.split_first().unwrap();
-        let place = fleet.place(*leaving);
-        fleet.stop(*leaving);
+        let (stopping, others) = nodes.split_first().unwrap();
+        let address_index = fleet.address_index(*stopping);
+        fleet.stop(*stopping);
         for claim in 0..20 {
             let key = format!("claim-{round}-{claim}");
             firsts.push(fleet.submit(others[claim % 2], &key));
@@ -202,16 +208,16 @@
         }
         fleet.run(Duration::from_secs(4));
         assert!(
-            !fleet.nodes().contains(leaving),
-            "round {round}: still there"
+            !fleet.nodes().contains(stopping),
+            "round {round}: the node has not exited"
         );
-        fleet.add(place);
+        fleet.add(address_index);
         fleet.run(Duration::from_secs(4));
     }
     let verdicts = |handles: &[u64]| -> Vec<verdict::CallVerdict> {
         handles
             .iter()
-            .map(|handle| fleet.told(*handle).verdict)
+            .map(|handle| fleet.reply(*handle).verdict)
             .collect()
     };
     let answered = |verdict: &verdict::CallVerdict| *verdict == verdict::CallVerdict::Answered;
@@ -220,16 +226,19 @@
         .find(|verdict| !answered(verdict));
     assert_eq!(cut, None);
     let running = verdict::CallVerdict::MayHaveRun(verdict::UncertaintyReason::InProgress);
-    let told: Vec<_> = verdicts(&seconds)
+    let unanswered: Vec<_> = verdicts(&seconds)
         .into_iter()
-        .filter(|told| !answered(told))
+        .filter(|verdict| !answered(verdict))
         .collect();
     println!(
-        "of {} second copies, {} heard of the first in progress",
+        "of {} second copies, {} were answered as in progress",
         seconds.len(),
-        told.len()
+        unanswered.len()
+    );
+    assert!(
+        unanswered.iter().all(|verdict| *verdict == running),
+        "{unanswered:?}"
     );
-    assert!(told.iter().all(|told| *told == running), "{told:?}");
-    assert_eq!(fleet.most_runs(), 1);
+    assert_eq!(fleet.max_runs_per_key(), 1);
     assert_eq!(fleet.runs.len(), 4_000);
 }
--- a/crates/anvil_core/tests/memory.rs
+++ b/crates/anvil_core/tests/memory.rs
@@ -1,4 +1,5 @@
-//! What a target's node remembers of attempts, and what it may say of those that it does not know.
+//! The duplicate filter and the answer cache of a target's node: retention and answers about
+//! unknown attempts.
 
 #![allow(clippy::unwrap_used)]
 
@@ -9,7 +10,7 @@
 use anvil_wire::{call, outcome};
 use bytes::Bytes;
 
-const MEMORY: Duration = Duration::from_secs(10);
+const RETENTION: Duration = Duration::from_secs(10);
 
 fn id(sequence: u64) -> outcome::AttemptId {
     outcome::AttemptId {
@@ -41,62 +42,73 @@
     }
 }
 
-/// Attempts that come one a second.
-fn steady(seconds: u64) -> duplicates::DuplicateFilter {
-    let mut guard = duplicates::DuplicateFilter::with_retention(MEMORY);
+/// A filter that received one attempt a second.
+fn filter_after(seconds: u64) -> duplicates::DuplicateFilter {
+    let mut filter = duplicates::DuplicateFilter::with_retention(RETENTION);
     for second in 0..seconds {
-        assert!(guard.admit(at(second), id(second)));
+        assert!(filter.admit(at(second), id(second)));
     }
-    guard
+    filter
 }
 
-// A claim's entry node asks about it. What is forgotten by its age lies before the time at which the claim
-// was sent, so that it never came is certain, and it may go elsewhere.
+// The entry node queries a claim that is not in the filter. Every dropped entry is older than the
+// time at which the claim was sent, so the claim certainly never arrived and may be sent to another
+// target.
 #[test]
-fn what_was_sent_within_the_memory_and_is_unknown_never_came() {
-    let guard = steady(60);
-    let standing = guard.status(id(1_000), at(55));
-    assert_eq!(standing, duplicates::AttemptStatus::New);
+fn an_unknown_attempt_sent_within_the_retention_never_arrived() {
+    let filter = filter_after(60);
+    let status = filter.status(id(1_000), at(55));
+    assert_eq!(status, duplicates::AttemptStatus::New);
     assert_eq!(
-        guard.status(id(55), at(55)),
+        filter.status(id(55), at(55)),
         duplicates::AttemptStatus::Seen
     );
 }
 
-// The claim was sent longer ago than anything is remembered. It may have run and be forgotten.
+// The claim was sent before the retention period, so it may have run and been dropped from the
+// filter.
 #[test]
-fn what_was_sent_before_the_memory_is_in_doubt() {
-    let guard = steady(60);
-    let standing = guard.status(id(1_000), at(40));
-    assert_eq!(standing, duplicates::AttemptStatus::Unknown);
+fn an_attempt_sent_before_the_retention_is_uncertain() {
+    let filter = filter_after(60);
+    let status = filter.status(id(1_000), at(40));
+    assert_eq!(status, duplicates::AttemptStatus::Unknown);
 }
 
-// The process is suspended for a minute. The claim came just before, and is forgotten by the clock with
-// the first attempt after. Counted from the question, it was sent a second ago.
+// The process is suspended for a minute. The claim arrived just before and expires by the clock at
+// the first attempt afterwards, although by the age given in the query it was sent a second ago.
 #[test]
-fn a_suspension_puts_what_came_before_it_in_doubt() {
-    let mut guard = steady(20);
-    guard.admit(at(80), id(80));
-    let standing = guard.status(id(19), at(79));
-    assert_eq!(standing, duplicates::AttemptStatus::Unknown);
+fn a_suspension_makes_earlier_attempts_uncertain() {
+    let mut filter = filter_after(20);
+    filter.admit(at(80), id(80));
+    let status = filter.status(id(19), at(79));
+    assert_eq!(status, duplicates::AttemptStatus::Unknown);
 }
 
 #[test]
-fn answers_are_kept_within_their_bounds() {
+fn answers_are_cached_within_the_bounds() {
     let bounds = answer_cache::CacheBounds {
         retention: Duration::from_secs(3),
         max_bytes: 10_000,
     };
-    let mut keep = answer_cache::AnswerCache::new(bounds);
-    keep.insert(at(0), &answer(0, 100));
-    keep.insert(at(2), &answer(1, 4_000));
-    assert_eq!(keep.len(), 2);
-    keep.insert(at(4), &answer(2, 4_000));
-    assert!(keep.get(id(0)).is_none(), "older than three seconds");
-    keep.insert(at(4), &answer(3, 4_000));
-    assert!(keep.get(id(1)).is_none(), "beyond the bytes");
-    assert!(keep.get(id(2)).is_some() && keep.get(id(3)).is_some());
-    keep.insert(at(4), &answer(4, 20_000));
-    assert!(keep.get(id(4)).is_none(), "larger than all bytes allowed");
-    assert!(keep.get(id(3)).is_some(), "and it drives nothing out");
+    let mut cache = answer_cache::AnswerCache::new(bounds);
+    cache.insert(at(0), &answer(0, 100));
+    cache.insert(at(2), &answer(1, 4_000));
+    assert_eq!(cache.len(), 2);
+    cache.insert(at(4), &answer(2, 4_000));
+    assert!(
+        cache.get(id(0)).is_none(),
+        "expected to expire after three seconds"
+    );
+    cache.insert(at(4), &answer(3, 4_000));
+    assert!(
+        cache.get(id(1)).is_none(),
+        "expected to be evicted at the byte limit"
+    );
+    assert!(cache.get(id(2)).is_some() && cache.get(id(3)).is_some());
+    cache.insert(at(4), &answer(4, 20_000));
+    assert!(cache.get(id(4)).is_none(), "larger than the byte limit");
+    assert!(
+        cache.get(id(3)).is_some(),
+        "an oversized answer must evict nothing"
+    );
 }
--- a/crates/anvil_core/tests/mesh/mod.rs
+++ b/crates/anvil_core/tests/mesh/mod.rs
@@ -1,5 +1,5 @@
-//! A few reducers joined by a queue of events with fixed delays, so that decisions made apart can
-//! be tested together in injected time. It knows no sockets, losses or clocks.
+//! Simulation of several reducers joined by an event queue with fixed delays, which tests their
+//! combined decisions in injected time, without sockets, losses or real clocks.
 
 #![allow(dead_code, clippy::unwrap_used)]
 
@@ -17,20 +17,22 @@
 use rand_core::{Rng, SeedableRng};
 
 pub(crate) use measure::Root;
-pub(crate) use plan::{Fault, KINDS, Plan, RULES, SATURATION, Service, claims_mesh};
-
-/// One way between two nodes of two availability zones, as in the users' meshes, and of one.
-const FAR_HOP: Duration = Duration::from_micros(1_500);
-const NEAR_HOP: Duration = Duration::from_micros(200);
-/// How long a crashed target takes to come back.
-const RESTART: Duration = Duration::from_secs(1);
-
-/// How long a target that came back works slowly, and by how much.
-const COLD: (f64, f64) = (2.0, 4.0);
-/// Nodes of the deep service.
-pub(crate) const DEEP: std::ops::Range<usize> = 12..16;
-
-enum Waiting {
+pub(crate) use plan::{Fault, KINDS, Plan, RULES, SATURATION_PER_S, Service, claims_mesh};
+
+/// One-way latency between two availability zones, as in the users' meshes.
+const CROSS_ZONE_HOP: Duration = Duration::from_micros(1_500);
+/// One-way latency within an availability zone.
+const SAME_ZONE_HOP: Duration = Duration::from_micros(200);
+/// How long a crashed target takes to restart.
+const RESTART_TIME: Duration = Duration::from_secs(1);
+
+/// How long a restarted target is slow, in seconds, and the factor on its working time.
+const COLD_START: (f64, f64) = (2.0, 4.0);
+/// Indices of the nodes of the deepest service.
+pub(crate) const DEEP_NODES: std::ops::Range<usize> = 12..16;
+
+/// The origin of a call that waits for its reply.
+enum CallOrigin {
     Root(usize),
     Child {
         node: usize,
@@ -39,13 +41,13 @@
     },
 }
 
-enum Happening {
+enum MeshEvent {
     Arrival,
     SideArrival,
-    Copy(usize),
+    SendRoot(usize),
     Step(usize, event::NodeEvent),
     Wake(usize),
-    Worked(usize, event::RunId),
+    WorkDone(usize, event::RunId),
     Restart(usize),
     Crash(usize),
 }
@@ -54,7 +56,8 @@
     service: usize,
     kind: &'static str,
     root: usize,
-    next: usize,
+    /// Index of the next call that the run makes.
+    next_call: usize,
 }
 
 struct Node {
@@ -62,7 +65,8 @@
     service: usize,
     active: BTreeMap<event::RunId, ActiveRun>,
     down: bool,
-    since: f64,
+    /// When the target last restarted, in seconds.
+    restarted_at: f64,
     wake: Option<time::NodeTime>,
 }
 
@@ -70,14 +74,14 @@
     plan: Plan,
     services: Vec<Service>,
     nodes: Vec<Node>,
-    queue: BTreeMap<(time::NodeTime, u64), Happening>,
+    queue: BTreeMap<(time::NodeTime, u64), MeshEvent>,
     now: time::NodeTime,
-    counted: u64,
-    waiting: BTreeMap<u64, Waiting>,
+    last_sequence: u64,
+    waiting: BTreeMap<u64, CallOrigin>,
     rng: rand_pcg::Pcg64Mcg,
     pub(crate) roots: Vec<Root>,
     pub(crate) crashes: u32,
-    /// Runs that targets of the deep service brought to their end.
+    /// Runs that targets of the deepest service completed.
     pub(crate) finished: u32,
 }
 
@@ -104,7 +108,7 @@
             nodes: Vec::new(),
             queue: BTreeMap::new(),
             now: time::NodeTime::START,
-            counted: 0,
+            last_sequence: 0,
             waiting: BTreeMap::new(),
             roots: Vec::new(),
             crashes: 0,
@@ -115,50 +119,50 @@
                 mesh.add_node(service);
             }
         }
-        mesh.introduce();
+        mesh.connect_peers();
         for node in 0..mesh.nodes.len() {
             mesh.announce(node);
         }
-        mesh.schedule(time::NodeTime::START, Happening::Arrival);
+        mesh.schedule(time::NodeTime::START, MeshEvent::Arrival);
         if let (Fault::ColdHalf, from, _) = mesh.plan.fault {
-            for node in DEEP.step_by(2) {
-                mesh.schedule(seconds(from), Happening::Crash(node));
+            for node in DEEP_NODES.step_by(2) {
+                mesh.schedule(seconds(from), MeshEvent::Crash(node));
             }
         }
         if mesh.plan.side_rate > 0.0 {
-            mesh.schedule(time::NodeTime::START, Happening::SideArrival);
+            mesh.schedule(time::NodeTime::START, MeshEvent::SideArrival);
         }
         mesh
     }
 
-    /// Runs the plan to its end.
+    /// Runs the simulation until the plan's end.
     pub(crate) fn run(mut self) -> Self {
         let end = seconds(self.plan.until);
-        while let Some(((at, _), happening)) = self.queue.pop_first() {
+        while let Some(((at, _), mesh_event)) = self.queue.pop_first() {
             if at > end {
                 break;
             }
             self.now = at;
-            self.handle(happening);
+            self.handle(mesh_event);
         }
         self
     }
 
-    /// Has a caller send a request that crashes whichever target of the deep service runs it.
+    /// Schedules a request that crashes each target of the deepest service that runs it.
     pub(crate) fn poison(&mut self, at: f64) {
         let root = self.add_root("poison", context::PriorityClass::Normal, at);
-        self.schedule(seconds(at), Happening::Copy(root));
+        self.schedule(seconds(at), MeshEvent::SendRoot(root));
     }
 
-    /// The dump of each node.
+    /// The diagnostic dump of each node.
     pub(crate) fn dumps(&mut self) -> Vec<String> {
-        let ask = event::NodeEvent::OperatorRequestArrived {
+        let request = event::NodeEvent::OperatorRequestArrived {
             handle: event::OperatorHandle(0),
             request: event::OperatorRequest::Dump,
         };
         let now = self.now;
         let answer = |node: &mut Node| {
-            let effects = node.reducer.step(now, ask.clone());
+            let effects = node.reducer.step(now, request.clone());
             effects.into_iter().find_map(|effect| match effect {
                 effect::NodeEffect::AnswerOperator { answer, .. } => {
                     answer.ok().map(answer::OperatorAnswer::text)
@@ -188,12 +192,12 @@
             service,
             active: BTreeMap::new(),
             down: false,
-            since: -COLD.0,
+            restarted_at: -COLD_START.0,
             wake: None,
         });
     }
 
-    fn introduce(&mut self) {
+    fn connect_peers(&mut self) {
         for other in 0..self.nodes.len() {
             let service = &self.services[self.nodes[other].service];
             let record = directory::PeerRecord {
@@ -225,25 +229,25 @@
         self.step(node, event::NodeEvent::TargetAnnounced(announcement));
     }
 
-    fn schedule(&mut self, at: time::NodeTime, happening: Happening) {
-        self.counted += 1;
-        self.queue.insert((at, self.counted), happening);
+    fn schedule(&mut self, at: time::NodeTime, mesh_event: MeshEvent) {
+        self.last_sequence += 1;
+        self.queue.insert((at, self.last_sequence), mesh_event);
     }
 
-    fn handle(&mut self, happening: Happening) {
-        match happening {
-            Happening::Arrival => self.arrive(),
-            Happening::SideArrival => self.arrive_beside(),
-            Happening::Copy(root) => self.send_root(root),
-            Happening::Step(node, event) => self.step(node, event),
-            Happening::Wake(node) => {
+    fn handle(&mut self, mesh_event: MeshEvent) {
+        match mesh_event {
+            MeshEvent::Arrival => self.arrive(),
+            MeshEvent::SideArrival => self.arrive_side(),
+            MeshEvent::SendRoot(root) => self.send_root(root),
+            MeshEvent::Step(node, event) => self.step(node, event),
+            MeshEvent::Wake(node) => {
                 self.nodes[node].wake = None;
                 self.step(node, event::NodeEvent::TimerFired);
             }
-            Happening::Worked(node, run) => self.advance(node, run),
-            Happening::Crash(node) => self.crash(node),
-            Happening::Restart(node) => {
-                self.nodes[node].since = self.seconds();
+            MeshEvent::WorkDone(node, run) => self.advance(node, run),
+            MeshEvent::Crash(node) => self.crash(node),
+            MeshEvent::Restart(node) => {
+                self.nodes[node].restarted_at = self.seconds();
                 self.nodes[node].down = false;
                 self.announce(node);
             }
@@ -252,32 +256,32 @@
 
     fn arrive(&mut self) {
         let at = self.now.since(time::NodeTime::START).as_secs_f64();
-        let passed = self.plan.rates.iter().rev().find(|(from, _)| *from <= at);
-        let rate = passed.unwrap().1;
-        let draw = self.rng.next_u64() % 100;
+        let current = self.plan.rates.iter().rev().find(|(from, _)| *from <= at);
+        let rate = current.unwrap().1;
+        let drawn = self.rng.next_u64() % 100;
         let mut sum = 0;
         let kind = KINDS.iter().find(|(_, share, _)| {
             sum += share;
-            draw < sum
+            drawn < sum
         });
         let (kind, _, class) = *kind.unwrap();
         let root = self.add_root(kind, class, at);
         self.send_root(root);
-        self.schedule_arrival(rate, Happening::Arrival);
+        self.schedule_arrival(rate, MeshEvent::Arrival);
     }
 
-    fn arrive_beside(&mut self) {
+    fn arrive_side(&mut self) {
         let at = self.now.since(time::NodeTime::START).as_secs_f64();
         let root = self.add_root("search", context::PriorityClass::Normal, at);
         self.send_root(root);
-        self.schedule_arrival(self.plan.side_rate, Happening::SideArrival);
+        self.schedule_arrival(self.plan.side_rate, MeshEvent::SideArrival);
     }
 
-    /// Schedules the next arrival after a pause between nothing and twice the mean.
-    fn schedule_arrival(&mut self, rate: f64, happening: Happening) {
+    /// Schedules the next arrival after an interval drawn evenly between zero and twice the mean.
+    fn schedule_arrival(&mut self, rate: f64, mesh_event: MeshEvent) {
         let spread = f64::from(self.rng.next_u32()) / f64::from(u32::MAX) * 2.0;
         let next = self.now + Duration::from_secs_f64(spread / rate);
-        self.schedule(next, happening);
+        self.schedule(next, mesh_event);
     }
 
     fn add_root(&mut self, kind: &'static str, class: context::PriorityClass, at: f64) -> usize {
@@ -285,7 +289,7 @@
             kind,
             class,
             arrived: at,
-            whole: None,
+            answered_at: None,
             ended: None,
             verdict: None,
             retry_after: None,
@@ -301,14 +305,14 @@
         let node = usize::try_from(self.rng.next_u64() % nodes).unwrap();
         let hints = event::CallerHints {
             request: Some(ident::RequestId(root as u128 + 1)),
-            timeout: Some(self.plan.patience),
+            timeout: Some(self.plan.client_timeout),
             ..event::CallerHints::default()
         };
         let service = self.services[0].name;
-        let handle = self.call(node, service, hints, Waiting::Root(root));
-        if let Some(after) = self.plan.gone_after {
-            let gone = event::NodeEvent::CallerDisconnected { handle };
-            self.schedule(self.now + after, Happening::Step(node, gone));
+        let handle = self.call(node, service, hints, CallOrigin::Root(root));
+        if let Some(after) = self.plan.disconnect_after {
+            let disconnected = event::NodeEvent::CallerDisconnected { handle };
+            self.schedule(self.now + after, MeshEvent::Step(node, disconnected));
         }
     }
 
@@ -317,15 +321,15 @@
         node: usize,
         service: &str,
         hints: event::CallerHints,
-        waiting: Waiting,
+        origin: CallOrigin,
     ) -> event::CallerHandle {
-        let root = match waiting {
-            Waiting::Root(root) | Waiting::Child { root, .. } => root,
+        let root = match origin {
+            CallOrigin::Root(root) | CallOrigin::Child { root, .. } => root,
         };
         let kind = self.roots[root].kind;
-        self.counted += 1;
-        let handle = self.counted;
-        self.waiting.insert(handle, waiting);
+        self.last_sequence += 1;
+        let handle = self.last_sequence;
+        self.waiting.insert(handle, origin);
         let request = call::CallRequest {
             service: name::ServiceName::new(service).unwrap(),
             method: "GET".to_owned(),
@@ -354,7 +358,7 @@
         let next = next.max(self.now + Duration::from_micros(1));
         if self.nodes[node].wake.is_none_or(|wake| next < wake) {
             self.nodes[node].wake = Some(next);
-            self.schedule(next, Happening::Wake(node));
+            self.schedule(next, MeshEvent::Wake(node));
         }
     }
 
@@ -375,11 +379,11 @@
         let event = event::NodeEvent::FrameArrived { peer, frame };
         let to = usize::try_from(to.0 - 1).unwrap();
         let hop = if zone(from) == zone(to) {
-            NEAR_HOP
+            SAME_ZONE_HOP
         } else {
-            FAR_HOP
+            CROSS_ZONE_HOP
         };
-        self.schedule(self.now + hop, Happening::Step(to, event));
+        self.schedule(self.now + hop, MeshEvent::Step(to, event));
     }
 
     fn start(&mut self, node: usize, order: &effect::RunOrder) {
@@ -394,10 +398,10 @@
             service,
             kind: self.roots[root].kind,
             root,
-            next: 0,
+            next_call: 0,
         };
         self.nodes[node].active.insert(order.run, run);
-        if self.suffers(node, Fault::OneFailing) {
+        if self.has_fault(node, Fault::OneFailing) {
             self.end_active(node, order.run, answer(500));
             return;
         }
@@ -407,8 +411,8 @@
         let factor = slow.find(|(from, slowed, _)| *from <= at && *slowed == name);
         let work = self.services[service].work;
         let work = work.mul_f64(factor.map_or(1.0, |(_, _, factor)| *factor));
-        let work = work.mul_f64(self.sluggishness(node));
-        self.schedule(self.now + work, Happening::Worked(node, order.run));
+        let work = work.mul_f64(self.slowdown(node));
+        self.schedule(self.now + work, MeshEvent::WorkDone(node, order.run));
     }
 
     fn advance(&mut self, node: usize, id: event::RunId) {
@@ -421,7 +425,7 @@
             self.crash(node);
             return;
         }
-        if breaks && self.suffers(node, Fault::Breaking) && self.rng.next_u32() % 10 < 3 {
+        if breaks && self.has_fault(node, Fault::Breaking) && self.rng.next_u32() % 10 < 3 {
             self.end_active(node, id, event::RunOutcome::Broken { in_answer: true });
             return;
         }
@@ -430,53 +434,53 @@
         };
         let service = &self.services[run.service];
         let calls = service.calls.iter().find(|(kind, _)| *kind == run.kind);
-        let next = calls.and_then(|(_, calls)| calls.get(run.next).copied());
+        let next = calls.and_then(|(_, calls)| calls.get(run.next_call).copied());
         let Some(next) = next else {
-            self.finished += u32::from(DEEP.contains(&node));
-            let failing = self.suffers(node, Fault::AllFailing);
+            self.finished += u32::from(DEEP_NODES.contains(&node));
+            let failing = self.has_fault(node, Fault::AllFailing);
             self.end_active(node, id, answer(if failing { 500 } else { 200 }));
             return;
         };
-        run.next += 1;
+        run.next_call += 1;
         let root = run.root;
         let hints = event::CallerHints {
             parent: Some(event::ParentToken(id)),
             ..event::CallerHints::default()
         };
         let run = id;
-        self.call(node, next, hints, Waiting::Child { node, run, root });
+        self.call(node, next, hints, CallOrigin::Child { node, run, root });
     }
 
     fn seconds(&self) -> f64 {
         self.now.since(time::NodeTime::START).as_secs_f64()
     }
 
-    /// Whether `fault` is on and meant for `node`.
-    fn suffers(&self, node: usize, fault: Fault) -> bool {
+    /// Whether `fault` is active and applies to `node`.
+    fn has_fault(&self, node: usize, fault: Fault) -> bool {
         let (planned, from, to) = self.plan.fault;
-        let one = matches!(fault, Fault::OneSlow | Fault::OneFailing);
-        let meant = if one {
-            node == DEEP.start
+        let is_single = matches!(fault, Fault::OneSlow | Fault::OneFailing);
+        let applies = if is_single {
+            node == DEEP_NODES.start
         } else {
-            DEEP.contains(&node)
+            DEEP_NODES.contains(&node)
         };
-        planned == fault && meant && (from..to).contains(&self.seconds())
+        planned == fault && applies && (from..to).contains(&self.seconds())
     }
 
-    fn sluggishness(&self, node: usize) -> f64 {
-        let cold = self.seconds() - self.nodes[node].since < COLD.0;
-        let slow = if self.suffers(node, Fault::OneSlow) {
+    fn slowdown(&self, node: usize) -> f64 {
+        let is_cold = self.seconds() - self.nodes[node].restarted_at < COLD_START.0;
+        let slow = if self.has_fault(node, Fault::OneSlow) {
             10.0
         } else {
             1.0
         };
-        if cold { COLD.1 } else { slow }
+        if is_cold { COLD_START.1 } else { slow }
     }
 
     fn crash(&mut self, node: usize) {
         self.crashes += 1;
         self.nodes[node].down = true;
-        self.schedule(self.now + RESTART, Happening::Restart(node));
+        self.schedule(self.now + RESTART_TIME, MeshEvent::Restart(node));
         for (run, _) in std::mem::take(&mut self.nodes[node].active) {
             self.end_run(node, run, event::RunOutcome::Broken { in_answer: false });
         }
@@ -490,37 +494,37 @@
 
     fn end_run(&mut self, node: usize, run: event::RunId, outcome: event::RunOutcome) {
         let event = event::NodeEvent::RunEnded { run, outcome };
-        self.schedule(self.now, Happening::Step(node, event));
+        self.schedule(self.now, MeshEvent::Step(node, event));
     }
 
     fn replied(&mut self, handle: u64, reply: &effect::CallerReply) {
-        let whole = reply
+        let succeeded = reply
             .answer
             .as_ref()
             .is_some_and(|answer| answer.status == 200);
         match self.waiting.remove(&handle) {
-            Some(Waiting::Root(root)) => self.root_ended(root, reply, whole),
-            Some(Waiting::Child { node, run, .. }) if whole => {
-                self.schedule(self.now, Happening::Worked(node, run));
+            Some(CallOrigin::Root(root)) => self.root_ended(root, reply, succeeded),
+            Some(CallOrigin::Child { node, run, .. }) if succeeded => {
+                self.schedule(self.now, MeshEvent::WorkDone(node, run));
             }
-            Some(Waiting::Child { node, run, .. }) => {
+            Some(CallOrigin::Child { node, run, .. }) => {
                 self.end_active(node, run, answer(503));
             }
             None => panic!("a second reply to one caller"),
         }
     }
 
-    fn root_ended(&mut self, root: usize, reply: &effect::CallerReply, whole: bool) {
+    fn root_ended(&mut self, root: usize, reply: &effect::CallerReply, succeeded: bool) {
         let at = self.now.since(time::NodeTime::START).as_secs_f64();
         let entry = &mut self.roots[root];
         entry.ended = Some(at);
         entry.verdict = Some(reply.verdict);
         entry.retry_after = reply.retry_after;
-        if whole {
-            entry.whole = entry.whole.or(Some(at));
+        if succeeded {
+            entry.answered_at = entry.answered_at.or(Some(at));
         } else if entry.copies <= self.plan.resends {
             let at = self.now + Duration::from_millis(100);
-            self.schedule(at, Happening::Copy(root));
+            self.schedule(at, MeshEvent::SendRoot(root));
         }
     }
 }
--- a/crates/anvil_core/tests/mesh/plan.rs
+++ b/crates/anvil_core/tests/mesh/plan.rs
@@ -1,11 +1,11 @@
-//! What a mesh is made of and what happens to it.
+//! Services, load and faults of a simulated mesh.
 
 use std::time::Duration;
 
 use anvil_overload::policy;
 use anvil_types::context;
 
-/// One service and, for each kind of request, what its targets call in turn.
+/// One service and, for each kind of request, the services that its targets call in sequence.
 pub(crate) struct Service {
     pub(crate) name: &'static str,
     pub(crate) targets: usize,
@@ -14,7 +14,7 @@
     pub(crate) calls: &'static [(&'static str, &'static [&'static str])],
 }
 
-/// The claims mesh in its users' sizes; its deepest service holds some 290 requests a second.
+/// The claims mesh in its users' sizes; its deepest service can serve about 290 requests a second.
 pub(crate) fn claims_mesh() -> Vec<Service> {
     let service = |name, slots, millis, calls| Service {
         name,
@@ -55,9 +55,10 @@
     ]
 }
 
-pub(crate) const SATURATION: f64 = 290.0;
+/// Requests a second that saturate the deepest service.
+pub(crate) const SATURATION_PER_S: f64 = 290.0;
 
-/// Kinds of request with their share in percent and their class.
+/// Kinds of request, each with its share in percent and its class.
 pub(crate) const KINDS: [(&str, u64, context::PriorityClass); 4] = [
     ("claim", 10, context::PriorityClass::Critical),
     ("hearing", 25, context::PriorityClass::High),
@@ -72,7 +73,7 @@
   - {name: other, when: {}, then: {class: normal, idempotent: true, retries: 3}}
 ";
 
-/// What goes wrong at the targets of the deep service while the pressure lasts.
+/// A fault at the targets of the deepest service.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Fault {
     None,
@@ -82,32 +83,32 @@
     OneFailing,
     /// All targets answer with a server error.
     AllFailing,
-    /// Half of the targets crash at the beginning and come back cold.
+    /// Half of the targets crash at the beginning and restart cold.
     ColdHalf,
-    /// Three runs of ten break off in the middle.
+    /// Three runs of ten break in the middle of their answer.
     Breaking,
 }
 
-/// What happens from outside, in seconds since the start.
+/// Load and faults of a simulation; times are in seconds since the start.
 #[derive(Clone)]
 pub(crate) struct Plan {
     pub(crate) policy: policy::OverloadPolicy,
     pub(crate) seed: u64,
     pub(crate) until: f64,
-    /// Requests a second from each point on.
+    /// Start times, each with the requests a second from then on.
     pub(crate) rates: Vec<(f64, f64)>,
-    /// The service and its factor on working time, from each point on.
+    /// Start times, each with a service and the factor on its working time from then on.
     pub(crate) slow: Vec<(f64, &'static str, f64)>,
-    /// What goes wrong, from when to when.
+    /// The fault, with its start and end.
     pub(crate) fault: (Fault, f64, f64),
-    /// Copies that a caller sends after a failure, each a tenth of a second later.
+    /// Copies that a caller sends after failures, each 100 ms after the last failure.
     pub(crate) resends: u32,
-    /// Requests a second that need only the first service, besides the others.
+    /// Additional requests a second that need only the first service.
     pub(crate) side_rate: f64,
-    /// When callers close their connections, where they do before their deadline.
-    pub(crate) gone_after: Option<Duration>,
-    /// How long callers wait.
-    pub(crate) patience: Duration,
+    /// Time after which callers disconnect, if they do so before their deadline.
+    pub(crate) disconnect_after: Option<Duration>,
+    /// The callers' timeout.
+    pub(crate) client_timeout: Duration,
 }
 
 impl Plan {
@@ -116,13 +117,13 @@
             policy,
             seed: 1,
             until: 12.0,
-            rates: vec![(0.0, SATURATION / 2.0)],
+            rates: vec![(0.0, SATURATION_PER_S / 2.0)],
             slow: Vec::new(),
             fault: (Fault::None, 0.0, 0.0),
             resends: 0,
-            gone_after: None,
+            disconnect_after: None,
             side_rate: 0.0,
-            patience: Duration::from_secs(2),
+            client_timeout: Duration::from_secs(2),
         }
     }
 }
--- a/crates/anvil_core/tests/notes.rs
+++ b/crates/anvil_core/tests/notes.rs
@@ -1,4 +1,4 @@
-//! What the log tells of single requests, and how much of it.
+//! Log lines about single requests, and their rate limit.
 
 #![allow(clippy::unwrap_used)]
 
@@ -7,7 +7,7 @@
 use anvil_core::{effect, event, request_log};
 use anvil_types::{context, ident, time, verdict};
 
-/// The lines about single requests among `effects`.
+/// The log lines about single requests among `effects`.
 fn lines(effects: &[effect::NodeEffect]) -> Vec<&effect::StateChange> {
     let lines = effects.iter().filter_map(|effect| match effect {
         effect::NodeEffect::Report(change) => Some(change),
@@ -30,9 +30,9 @@
 }
 
 #[test]
-fn a_refused_request_is_told_with_its_id_and_cause() {
-    // The caller is told to come back. Its engineer later has the id alone: the one line that
-    // carries it says that nothing ran, why, and what the caller was told.
+fn a_refused_request_is_logged_with_its_id_and_cause() {
+    // When a refused request is investigated later, only its id is known. The one line with that id
+    // must say that nothing ran, why, and which verdict the caller received.
     let mut node = support::entry_node();
     let effects = node.step(support::at(5), labelled(1, "9c41d07be2a35f68"));
     let lines = lines(&effects);
@@ -45,33 +45,34 @@
 }
 
 #[test]
-fn a_storm_of_refusals_fills_no_disk() {
-    // Callers send a thousand requests in a second, and all are refused. The log holds a bounded
-    // number of lines and, with the next line, the number of those left out.
+fn log_lines_about_refusals_are_limited() {
+    // A thousand requests arrive within half a second, and all are refused. Unlimited logging would
+    // fill the disk: the log must hold a bounded number of lines, and with the next line the number
+    // of those suppressed.
     let mut node = support::entry_node();
-    let mut told = 0;
+    let mut written = 0;
     for handle in 0..1_000 {
         let effects = node.step(support::at(handle / 2), labelled(handle, "a"));
-        told += lines(&effects).len();
+        written += lines(&effects).len();
     }
-    assert_eq!(told, 200);
+    assert_eq!(written, 200);
     let effects = node.step(support::at(2_000), labelled(1_000, "b"));
-    let held = effects.iter().any(|effect| {
+    let counts_suppressed = effects.iter().any(|effect| {
         matches!(
             effect,
             effect::NodeEffect::Report(effect::StateChange::LinesSuppressed { count: 800 })
         )
     });
-    assert!(held);
+    assert!(counts_suppressed);
 }
 
 #[test]
-fn successes_are_told_for_a_sixteenth_of_the_lanes() {
-    let told = |lane| {
+fn successes_are_logged_for_a_sixteenth_of_the_lanes() {
+    let is_logged = |lane| {
         let lane = context::LaneHash(lane);
         request_log::is_logged(verdict::CallVerdict::Answered, Some(200), lane)
     };
-    assert_eq!((0..=255).filter(|lane| told(*lane)).count(), 16);
+    assert_eq!((0..=255).filter(|lane| is_logged(*lane)).count(), 16);
     let failed = context::LaneHash(200);
     assert!(request_log::is_logged(
         verdict::CallVerdict::Answered,
--- a/crates/anvil_core/tests/platform_hardships.rs
+++ b/crates/anvil_core/tests/platform_hardships.rs
@@ -1,4 +1,4 @@
-//! Hardships of a platform whose processes restart in turn and whose targets speak for themselves.
+//! Failures on a platform that restarts processes in turn and whose targets announce themselves.
 
 #![allow(clippy::unwrap_used)]
 
@@ -12,7 +12,7 @@
 use anvil_types::{ident, verdict};
 use support::{at, replies, started};
 
-fn word(id: &str, sequence: u64) -> event::TargetIncarnation {
+fn incarnation(id: &str, sequence: u64) -> event::TargetIncarnation {
     event::TargetIncarnation {
         id: ident::IncarnationId::new(id),
         started_at_ms: None,
@@ -22,10 +22,10 @@
 
 fn announced(id: &str, sequence: u64) -> event::NodeEvent {
     let event::NodeEvent::TargetAnnounced(announcement) = support::announcement(4) else {
-        unreachable!("it announces");
+        unreachable!("announcement() returns an announcement");
     };
     event::NodeEvent::TargetAnnounced(event::TargetAnnouncement {
-        incarnation: Some(word(id, sequence)),
+        incarnation: Some(incarnation(id, sequence)),
         warm: true,
         ..announcement
     })
@@ -33,13 +33,13 @@
 
 fn withdrawn(id: &str, sequence: u64, terminated: bool) -> event::NodeEvent {
     event::NodeEvent::TargetWithdrawn {
-        incarnation: word(id, sequence),
+        incarnation: incarnation(id, sequence),
         terminated,
     }
 }
 
-/// The starts of the target that runs were ordered at.
-fn ordered(effects: &[effect::NodeEffect]) -> Vec<String> {
+/// The incarnation ids to which runs were sent.
+fn run_incarnations(effects: &[effect::NodeEffect]) -> Vec<String> {
     let orders = effects.iter().filter_map(|effect| match effect {
         effect::NodeEffect::RunTarget(order) => order.incarnation.as_ref(),
         _ => None,
@@ -47,52 +47,53 @@
     orders.map(ToString::to_string).collect()
 }
 
-// A caller's request must never reach a target that said it leaves, nor one that is gone. Words of
-// the target arrive late and out of order: none of an older start, and none before a later one,
-// counts any more.
-fn late_words_change_nothing(words: &[event::NodeEvent], serving: Option<&str>) {
+// A request must never be sent to a target that is draining or has terminated. Announcements arrive
+// late and out of order: one of an earlier start, or older than the latest of the same start, must
+// be ignored.
+fn late_words_change_nothing(announcements: &[event::NodeEvent], serving: Option<&str>) {
     let mut node = support::entry_node();
-    for word in words {
-        node.step(at(1), word.clone());
+    for announcement in announcements {
+        node.step(at(1), announcement.clone());
     }
     let effects = node.step(at(2), support::peer_call(7, true));
     let expected: Vec<String> = serving.into_iter().map(str::to_owned).collect();
-    assert_eq!(ordered(&effects), expected);
+    assert_eq!(run_incarnations(&effects), expected);
 }
 
 test_cases! {
     late_words_change_nothing:
-    a_first_word_serves => (&[announced("a", 1)], Some("a")),
-    a_leaving_binds => (&[announced("a", 1), withdrawn("a", 2, false)], None),
-    a_late_word_revives_nothing => (
+    first_announcement_serves => (&[announced("a", 1)], Some("a")),
+    drain_takes_effect => (&[announced("a", 1), withdrawn("a", 2, false)], None),
+    late_announcement_after_drain_is_ignored => (
         &[announced("a", 1), withdrawn("a", 3, false), announced("a", 2)], None),
-    a_word_behind_the_end_revives_nothing => (
+    announcement_after_termination_is_ignored => (
         &[announced("a", 1), withdrawn("a", 9, true), announced("a", 10)], None),
-    the_end_of_another_start_binds_nobody => (
+    termination_of_another_start_is_ignored => (
         &[announced("a", 1), announced("b", 1), withdrawn("a", 9, true)], Some("b")),
-    a_late_leaving_of_another_start_binds_nobody => (
+    late_drain_of_another_start_is_ignored => (
         &[announced("a", 1), announced("b", 1), withdrawn("a", 2, false)], Some("b")),
-    a_new_start_serves_after_a_leaving => (
+    new_start_serves_after_a_termination => (
         &[announced("a", 1), withdrawn("a", 2, true), announced("b", 1)], Some("b")),
 }
 
 #[test]
 fn a_refusal_by_the_successor_brings_the_node_back_to_it() {
-    // Callers are turned away for a heartbeat's time, or not at all. Start a crashed and b has
-    // registered; a word of a comes seconds late, from before the node knew of b. The target at the
-    // address answers that it is b, so the node goes back to b and ends a for good.
+    // Start a crashed and b has registered, and then an announcement of a arrives seconds late. The
+    // target at the address refuses a run meant for a and answers that it is b. The node must
+    // return to b and ignore a from then on; otherwise callers would be refused until the next
+    // heartbeat.
     let mut node = support::entry_node();
     node.step(at(1), announced("b", 1));
     node.step(at(2), announced("a", 40));
     let effects = node.step(at(3), support::peer_call(7, true));
-    assert_eq!(ordered(&effects), ["a"]);
+    assert_eq!(run_incarnations(&effects), ["a"]);
     let run = started(&effects)[0];
     let holder = Some(ident::IncarnationId::new("b"));
     let outcome = event::RunOutcome::Misdirected { holder };
     node.step(at(4), event::NodeEvent::RunEnded { run, outcome });
     node.step(at(5), announced("a", 41));
     let effects = node.step(at(6), support::peer_call(8, true));
-    assert_eq!(ordered(&effects), ["b"]);
+    assert_eq!(run_incarnations(&effects), ["b"]);
 }
 
 fn stopping_node(plan: stopping::StopPlan) -> reducer::NodeReducer {
@@ -109,10 +110,10 @@
 };
 
 #[test]
-fn the_target_of_a_restarting_node_works_on() {
-    // Nodes are restarted in turn while their targets live. Taken out at the request to stop, each
-    // target would stand idle for three seconds, and callers elsewhere would find the service full.
-    // It takes runs for two seconds and refuses them from then on, as not run.
+fn the_target_of_a_stopping_node_accepts_runs_at_first() {
+    // Nodes are restarted in turn while their targets keep running. If each target were withdrawn
+    // at the stop request, it would be idle for three seconds and the service would lack its
+    // capacity. It must accept runs for two seconds and refuse them as not run from then on.
     let mut node = stopping_node(PLAN);
     let early = node.step(at(1_500), support::peer_call(7, true));
     assert_eq!(started(&early).len(), 1);
@@ -130,39 +131,40 @@
 }
 
 #[test]
-fn a_stopping_node_tells_before_it_is_killed() {
-    // A run hangs for longer than the process may take to stop. Whoever stops it kills it then, and
-    // its callers would see a broken connection; half a second before, they are told the truth.
+fn a_stopping_node_replies_before_it_is_killed() {
+    // A run hangs for longer than the stop limit, after which the platform kills the process and
+    // callers would see a broken connection. They must be told "may have run" half a second before.
     let mut node = stopping_node(PLAN);
     node.step(at(20), support::arrival(1, "POST"));
     let effects = support::run_until(&mut node, at(5_010));
-    let told = replies(&effects);
+    let verdicts = replies(&effects);
     let stopped = verdict::CallVerdict::MayHaveRun(verdict::UncertaintyReason::Stopped);
-    assert_eq!(told, [(1, stopped)]);
-    let left = effects
+    assert_eq!(verdicts, [(1, stopped)]);
+    let exited = effects
         .iter()
         .any(|effect| matches!(effect, effect::NodeEffect::Exit));
-    assert!(left);
+    assert!(exited);
 }
 
 #[test]
 fn a_second_request_to_stop_cuts_nothing() {
-    // A run is in progress when its node is told to stop, and told again a second later, as the stop of
-    // one machine and of its whole zone overlap. Its caller gets the whole answer that the target gives
-    // two seconds later; whoever stops the node ends it after five seconds in any case.
+    // A run is in progress when its node gets a stop request, and another one a second later, as
+    // happens when the stops of a machine and of its whole zone overlap. The caller must get the
+    // full answer that the target gives two seconds later; the platform kills the node after five
+    // seconds in any case.
     let mut node = stopping_node(PLAN);
     let effects = node.step(at(20), support::arrival(1, "POST"));
     let run = started(&effects)[0];
     let effects = node.step(at(1_000), event::NodeEvent::StopRequested);
     assert_eq!(replies(&effects), []);
-    let outcome = support::whole();
+    let outcome = support::answered();
     let effects = node.step(at(2_900), event::NodeEvent::RunEnded { run, outcome });
     assert_eq!(replies(&effects), [(1, verdict::CallVerdict::Answered)]);
     let effects = support::run_until(&mut node, at(3_100));
-    let left = effects
+    let exited = effects
         .iter()
         .any(|effect| matches!(effect, effect::NodeEffect::Exit));
-    assert!(left);
+    assert!(exited);
 }
 
 const ROUTE: &str = "rules:
@@ -197,9 +199,9 @@
 
 #[test]
 fn a_request_waits_for_a_target_that_is_about_to_come() {
-    // All processes were killed and are back; their targets' next heartbeats are a moment away.
-    // Refused at once, the caller would return when its objective is over. It is served as soon as
-    // the target has spoken, well within the objective.
+    // All processes were killed and have restarted, and their targets' next heartbeats are about to
+    // arrive. If the request were refused at once, its retry would miss the objective. It must be
+    // served as soon as the target announces itself, well within the objective.
     let mut node = routed_node();
     let effects = node.step(at(10), routed_arrival("portal.example", "/cases/7"));
     assert!(replies(&effects).is_empty());
@@ -210,9 +212,9 @@
 }
 
 #[test]
-fn a_request_waits_no_longer_than_its_answer_would_be_of_use() {
-    // The service is gone for good. The caller hears so while more than half of its objective is
-    // left, and is told when to come back.
+fn a_request_is_refused_while_a_retry_can_still_meet_its_objective() {
+    // The service has no target any more. The caller must be refused while at least half of
+    // its objective is left, with a time after which to retry.
     let mut node = routed_node();
     node.step(at(10), routed_arrival("portal.example", "/cases/7"));
     let effects = support::run_until(&mut node, at(600));
@@ -225,8 +227,8 @@
     assert!(pause.is_some());
 }
 
-// The rules match the host, whatever its letter case and port, and the path; where none holds but
-// the last, nothing is there.
+// Rules match the path and the host, regardless of its letter case and port. If only the last rule
+// matches, the request is answered as not found.
 fn rules_choose_by_host_and_path(host: &str, path: &str, found: bool) {
     let mut node = routed_node();
     node.step(at(1), support::announcement(4));
@@ -238,16 +240,16 @@
 
 test_cases! {
     rules_choose_by_host_and_path:
-    its_host => ("portal.example", "/cases/7", true),
-    its_host_with_a_port => ("Portal.Example:8080", "/cases/7?x=/other", true),
+    matching_host => ("portal.example", "/cases/7", true),
+    matching_host_with_a_port => ("Portal.Example:8080", "/cases/7?x=/other", true),
     another_host => ("api.example", "/cases/7", false),
     another_path => ("portal.example", "/claims/7", false),
 }
 
 #[test]
-fn a_call_takes_over_the_request_that_its_id_names() {
-    // A claim's target looks something up under an id built from the claim's. The lookup is as
-    // important as the claim and ends with it, though nothing proves whose it is.
+fn a_call_inherits_from_the_request_that_its_id_names() {
+    // A claim's target makes a lookup under an id derived from the claim's. The lookup must belong
+    // to the claim's root request although it carries no parent token.
     let mut node = support::target_node(4);
     let mut claim = support::peer_call(7, false);
     let event::NodeEvent::FrameArrived {
@@ -255,13 +257,13 @@
         ..
     } = &mut claim
     else {
-        unreachable!("it is a call");
+        unreachable!("peer_call() returns a call");
     };
     call.label = Some(ident::RequestLabel::new("9c41"));
     call.context.class = anvil_types::context::PriorityClass::Critical;
     call.context.repeat = true;
     node.step(at(1), claim);
-    support::learn(&mut node, support::PEER);
+    support::add_peer(&mut node, support::PEER);
     let hints = event::CallerHints {
         label: Some(ident::RequestLabel::new("9c41.1")),
         parent_label: Some(ident::RequestLabel::new("9c41")),
--- a/crates/anvil_core/tests/restarts.rs
+++ b/crates/anvil_core/tests/restarts.rs
@@ -1,4 +1,4 @@
-//! What a planned restart of a node may not cost.
+//! Planned restarts of nodes must not fail requests.
 
 #![allow(clippy::unwrap_used)]
 
@@ -20,11 +20,11 @@
     answers.collect()
 }
 
-// A citizen's lookup reaches a target whose node was started a moment ago and has not compared its
-// rules with its peers'. The lookup calls on, through that node, which refuses it; so the citizen
-// would read an error. The fresh node must not take the run in the first place.
+// A node that has just started has not compared its rules with its peers' and refuses calls from
+// its target. If it accepted a run whose target makes such a call, the run would fail, so it must
+// refuse the run in the first place.
 #[test]
-fn fresh_node_takes_no_run_that_it_could_not_carry_on() {
+fn fresh_node_refuses_runs_whose_calls_it_would_refuse() {
     let mut node = support::with_target(support::fresh_node(), 8);
     let effects = node.step(support::at(1), support::peer_call(1, true));
     assert!(support::started(&effects).is_empty());
@@ -32,33 +32,33 @@
     assert_eq!(refusals(&effects), [refusal]);
 }
 
-// A claim runs at a target whose node is asked to stop, and after two seconds, when callers are
-// refused already, it looks a calendar up. The node waits for the claim; refusing the lookup would
-// fail the claim that it waits for.
+// A claim is running at a target whose node is stopped. Two seconds later, when the node already
+// refuses callers, the claim makes a lookup. Refusing it would fail the claim that the node waits
+// for.
 #[test]
-fn leaving_node_carries_the_calls_of_what_it_finishes() {
+fn stopping_node_sends_the_calls_of_its_remaining_runs() {
     let mut node = support::target_node(8);
-    support::learn(&mut node, support::PEER);
+    support::add_peer(&mut node, support::PEER);
     let effects = node.step(support::at(1), support::peer_call(1, false));
     let run = support::started(&effects)[0];
     node.step(support::at(2), event::NodeEvent::StopRequested);
     support::run_until(&mut node, support::at(2_000));
-    let lookup = support::call_of(run);
+    let lookup = support::child_call(run);
     let effects = node.step(support::at(2_001), lookup);
     assert!(support::replies(&effects).is_empty());
     assert_eq!(support::sent_calls(&effects).len(), 1);
-    let stranger = node.step(support::at(2_002), support::arrival(2, "GET"));
+    let unrelated = node.step(support::at(2_002), support::arrival(2, "GET"));
     let refusal = verdict::CallVerdict::NotRun(verdict::RefusalReason::Leaving);
-    assert_eq!(support::replies(&stranger), [(2, refusal)]);
+    assert_eq!(support::replies(&unrelated), [(2, refusal)]);
 }
 
-// Forty citizens ask at once for what a warm target offers, a moment after its node was replaced.
-// The target could take them all. A node that takes it for cold starts a few and sheds others,
-// though nothing happened to the target.
+// Forty requests arrive at once for a warm target whose node was just replaced. The target has
+// capacity for all of them; a node that treated it as cold would shed most although the target
+// never restarted.
 fn check_start(warm: bool, all: bool) {
     let mut node = support::entry_node();
     let event::NodeEvent::TargetAnnounced(mut announcement) = support::announcement(40) else {
-        unreachable!("the function makes an announcement");
+        unreachable!("announcement() returns an announcement");
     };
     announcement.warm = warm;
     node.step(
@@ -70,11 +70,11 @@
         let effects = node.step(support::at(1), support::peer_call(sequence, true));
         running += support::started(&effects).len();
     }
-    assert_eq!(running == 40, all, "{running} of 40 run");
+    assert_eq!(running == 40, all, "{running} of 40 requests run");
 }
 
 test_cases! {
     check_start:
-    warm_target_of_a_new_node_takes_a_full_load => (true, true),
-    cold_target_takes_a_part_at_first => (false, false),
+    warm_target_of_a_new_node_gets_its_full_load => (true, true),
+    cold_target_gets_a_part_at_first => (false, false),
 }
--- a/crates/anvil_core/tests/rules.rs
+++ b/crates/anvil_core/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The operators' rules inside the reducer: what they decide, and that they never go back.
+//! Operators' rules in the reducer: their effect on calls, and that revisions never go backwards.
 
 #![allow(clippy::unwrap_used)]
 
@@ -72,10 +72,10 @@
     node.step(time::NodeTime::from_millis(1), arrived)
 }
 
-fn ask(node: &mut reducer::NodeReducer, request: event::OperatorRequest) -> (Value, u64) {
+fn query(node: &mut reducer::NodeReducer, request: event::OperatorRequest) -> (Value, u64) {
     let handle = event::OperatorHandle(1);
-    let asked = event::NodeEvent::OperatorRequestArrived { handle, request };
-    let effects = node.step(time::NodeTime::from_millis(2), asked);
+    let arrived = event::NodeEvent::OperatorRequestArrived { handle, request };
+    let effects = node.step(time::NodeTime::from_millis(2), arrived);
     let mut answers = effects.into_iter().filter_map(|effect| match effect {
         effect::NodeEffect::AnswerOperator { answer, .. } => answer.ok(),
         _ => None,
@@ -86,13 +86,13 @@
 }
 
 #[test]
-fn the_rule_sets_the_time_that_a_run_may_take() {
+fn the_rule_sets_the_timeout_of_a_run() {
     let effects = arrive(&mut node(), "POST", "/bids");
     let timeout = effects.iter().find_map(|effect| match effect {
         effect::NodeEffect::RunTarget(run) => Some(run.timeout),
         _ => None,
     });
-    // Each hop keeps a little of the time for the way back.
+    // Each hop reserves a little of the time for returning the answer.
     let expected = Duration::from_millis(1_900)..=Duration::from_secs(2);
     assert!(
         timeout.is_some_and(|timeout| expected.contains(&timeout)),
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_rule_that_refuses_runs_nothing_and_is_named() {
+fn a_refusing_rule_runs_nothing_and_is_named_in_the_reply() {
     let effects = arrive(&mut node(), "GET", "/bids");
     let ran = |effect: &effect::NodeEffect| matches!(effect, effect::NodeEffect::RunTarget(_));
     assert!(!effects.iter().any(ran));
@@ -109,24 +109,24 @@
         effect::NodeEffect::ReplyCaller { reply, .. } => Some((reply.verdict, reply.rule)),
         _ => None,
     });
-    let mark = treatment::RuleReference {
+    let rule = treatment::RuleReference {
         revision: ident::RuleRevision(3),
         index: Some(1),
     };
     let refused = verdict::CallVerdict::NotRun(verdict::RefusalReason::Rule);
-    assert_eq!(reply, Some((refused, mark)));
+    assert_eq!(reply, Some((refused, rule)));
 }
 
 fn check_adoption(revision: u64, adopted: bool) {
     // Rules arrive by gossip, by pull and from the store, late and in any order. An older document
-    // that arrives after a newer one must not undo an accepted change.
+    // that arrives after a newer one must not revert an accepted change.
     let mut node = node();
     let older = document("rules: []");
     assert_eq!(
         node.adopt_rules(ident::RuleRevision(revision), older),
         adopted
     );
-    let (status, revision) = ask(&mut node, event::OperatorRequest::Status);
+    let (status, revision) = query(&mut node, event::OperatorRequest::Status);
     let rules = if adopted { 0 } else { 2 };
     assert_eq!(status["rules"]["rules"], rules);
     assert_eq!(status["rules"]["revision"], revision);
@@ -139,18 +139,18 @@
 }
 
 #[test]
-fn explains_the_rule_the_revision_and_the_reason() {
-    let asked = event::OperatorRequest::Explain(Box::new(request("POST", "/bids?lot=4")));
-    let (told, revision) = ask(&mut node(), asked);
-    assert_eq!((revision, &told["revision"]), (3, &Value::from(3)));
-    assert_eq!(told["rule"]["rule"], "bids");
+fn explain_names_the_rule_the_revision_and_the_reason() {
+    let explain = event::OperatorRequest::Explain(Box::new(request("POST", "/bids?lot=4")));
+    let (explanation, revision) = query(&mut node(), explain);
+    assert_eq!((revision, &explanation["revision"]), (3, &Value::from(3)));
+    assert_eq!(explanation["rule"]["rule"], "bids");
     let reason = "bids is the first rule whose whole condition holds";
-    assert_eq!(told["rule"]["reason"], reason);
+    assert_eq!(explanation["rule"]["reason"], reason);
 }
 
 #[test]
-fn a_node_alone_has_its_rules_in_force_everywhere() {
-    let (status, _) = ask(&mut node(), event::OperatorRequest::Status);
+fn a_single_node_has_its_rules_in_force_everywhere() {
+    let (status, _) = query(&mut node(), event::OperatorRequest::Status);
     assert_eq!(status["rules"]["in_force"], 1);
     assert_eq!(status["rules"]["lagging"], Value::Array(Vec::new()));
 }
--- a/crates/anvil_core/tests/silent_stops.rs
+++ b/crates/anvil_core/tests/silent_stops.rs
@@ -1,8 +1,9 @@
-//! Planned stops of a target's node whose connection to an entry node is silent without a sign.
+//! Planned stops of a target's node whose connection to an entry node is silent and not yet
+//! detected.
 //!
-//! A caller's request goes out on that connection and never arrives. The target's node has not heard of
-//! it, ends as planned, and when the entry node notices the silence nobody is left who could say that the
-//! request never ran. So a node that stops asks every member before it ends.
+//! A request sent on that connection never arrives. The target's node, which does not know of it,
+//! exits as planned, and when the entry node detects the silence no process is left that could
+//! confirm that the request never ran. So a stopping node queries every member before it exits.
 
 #![allow(clippy::unwrap_used)]
 
@@ -16,32 +17,33 @@
 use anvil_types::{ident, name, time, verdict};
 use anvil_wire::{frame, gossip, outcome};
 
-/// One way between the two nodes.
+/// One-way latency between the two nodes.
 const HOP: Duration = Duration::from_micros(1_500);
 
-/// Time after which an entry node gives up a silent connection on which answers are due.
-const SILENCE: Duration = Duration::from_millis(750);
+/// Time after which an entry node closes a silent connection on which answers are due.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(750);
 
-/// A stop of a second, or of as long as what is out takes.
+/// A stop that takes a second, or until all calls in flight have ended.
 const PLAN: stopping::StopPlan = stopping::StopPlan {
     linger: Duration::from_millis(1_000),
     run_linger: Duration::ZERO,
     limit: Some(Duration::from_secs(20)),
 };
 
-/// An entry node and a target's node that have met, and what is under way between them.
+/// An entry node and a target's node that know each other, and the events in transit between them.
 struct SilentPair {
     now: time::NodeTime,
     nodes: Vec<(ident::NodeId, SocketAddr, reducer::NodeReducer)>,
     queue: BTreeMap<(time::NodeTime, u64), (ident::NodeId, event::NodeEvent)>,
-    pushed: u64,
+    last_sequence: u64,
     /// Whether the connection between the two takes frames and delivers none.
     silent: bool,
     /// Until when datagrams between the two are lost.
     lossy_until: time::NodeTime,
     runs: Vec<event::RunId>,
-    told: Vec<verdict::CallVerdict>,
-    gone: Option<time::NodeTime>,
+    verdicts: Vec<verdict::CallVerdict>,
+    /// When the target's node exited.
+    exited_at: Option<time::NodeTime>,
     cancelled: usize,
 }
 
@@ -67,7 +69,7 @@
 }
 
 impl SilentPair {
-    /// The two know each other by membership, and no call has crossed between them.
+    /// Starts two nodes that know each other by membership and have exchanged no call.
     fn start() -> Self {
         let mut pair = Self {
             now: time::NodeTime::START,
@@ -76,12 +78,12 @@
                 node(support::PEER, 7_002, 7_001),
             ],
             queue: BTreeMap::new(),
-            pushed: 0,
+            last_sequence: 0,
             silent: false,
             lossy_until: time::NodeTime::START,
             runs: Vec::new(),
-            told: Vec::new(),
-            gone: None,
+            verdicts: Vec::new(),
+            exited_at: None,
             cancelled: 0,
         };
         pair.push(support::NODE, Duration::ZERO, event::NodeEvent::TimerFired);
@@ -91,8 +93,8 @@
     }
 
     fn push(&mut self, node: ident::NodeId, after: Duration, event: event::NodeEvent) {
-        self.pushed += 1;
-        let key = (self.now + after, self.pushed);
+        self.last_sequence += 1;
+        let key = (self.now + after, self.last_sequence);
         self.queue.insert(key, (node, event));
     }
 
@@ -112,15 +114,15 @@
 
     fn step(&mut self, node: ident::NodeId, event: event::NodeEvent) {
         let now = self.now;
-        if node == support::PEER && self.gone.is_some() {
+        if node == support::PEER && self.exited_at.is_some() {
             return;
         }
         if matches!(event, event::NodeEvent::ConnectionLost { .. }) {
             self.silent = false;
         }
-        let held = self.nodes.iter_mut().find(|held| held.0 == node).unwrap();
-        let effects = held.2.step(now, event);
-        let wake = held.2.next_wake();
+        let entry = self.nodes.iter_mut().find(|entry| entry.0 == node).unwrap();
+        let effects = entry.2.step(now, event);
+        let wake = entry.2.next_wake();
         for effect in effects {
             self.carry_out(node, effect);
         }
@@ -134,9 +136,9 @@
         match effect {
             effect::NodeEffect::SendFrame { peer, frame, .. } => self.send(node, peer, frame),
             effect::NodeEffect::SendDatagram { to, message } => {
-                let from = self.nodes.iter().find(|held| held.0 == node).unwrap().1;
-                let receiver = self.nodes.iter().find(|held| held.1 == to);
-                if let Some(receiver) = receiver.map(|held| held.0)
+                let from = self.nodes.iter().find(|entry| entry.0 == node).unwrap().1;
+                let receiver = self.nodes.iter().find(|entry| entry.1 == to);
+                if let Some(receiver) = receiver.map(|entry| entry.0)
                     && self.now >= self.lossy_until
                 {
                     let event = event::NodeEvent::DatagramArrived { from, message };
@@ -144,15 +146,15 @@
                 }
             }
             effect::NodeEffect::RunTarget(order) => self.runs.push(order.run),
-            effect::NodeEffect::ReplyCaller { reply, .. } => self.told.push(reply.verdict),
+            effect::NodeEffect::ReplyCaller { reply, .. } => self.verdicts.push(reply.verdict),
             effect::NodeEffect::CancelRun(_) => self.cancelled += 1,
-            effect::NodeEffect::Exit if node == support::PEER => self.gone = Some(self.now),
+            effect::NodeEffect::Exit if node == support::PEER => self.exited_at = Some(self.now),
             _ => {}
         }
     }
 
     fn send(&mut self, node: ident::NodeId, peer: ident::NodeId, frame: frame::PeerFrame) {
-        if peer == support::PEER && self.gone.is_some() {
+        if peer == support::PEER && self.exited_at.is_some() {
             let unsent = vec![frame];
             self.push(
                 node,
@@ -177,7 +179,11 @@
             _ => false,
         };
         if is_probed {
-            self.push(node, SILENCE, event::NodeEvent::ConnectionLost { peer });
+            self.push(
+                node,
+                SILENCE_TIMEOUT,
+                event::NodeEvent::ConnectionLost { peer },
+            );
         }
     }
 
@@ -196,18 +202,18 @@
 
     fn end_run(&mut self) {
         let run = self.runs[0];
-        let outcome = support::whole();
+        let outcome = support::answered();
         let ended = event::NodeEvent::RunEnded { run, outcome };
         self.push(support::PEER, Duration::ZERO, ended);
     }
 }
 
-// Guards against a call that is lost in a silent connection to a node which ends as planned before the
-// silence shows, and has heard nothing of its entry node before.
-fn check_lost_call(method: &str, heard_after: Duration, called_after: Duration) {
+// Guards against a call that is lost in a silent connection to a node which exits as planned before
+// the silence is detected, and which has received nothing from the entry node before.
+fn check_lost_call(method: &str, datagrams_after: Duration, called_after: Duration) {
     let mut pair = SilentPair::start();
     pair.silent = true;
-    pair.lossy_until = pair.now + heard_after;
+    pair.lossy_until = pair.now + datagrams_after;
     pair.push(
         support::PEER,
         Duration::ZERO,
@@ -216,12 +222,12 @@
     pair.run(called_after);
     pair.call(method);
     pair.run(Duration::from_secs(8));
-    assert!(pair.gone.is_some(), "the stop comes to its end");
+    assert!(pair.exited_at.is_some(), "the stop did not end");
     assert!(pair.runs.is_empty());
     assert!(
-        matches!(pair.told[..], [verdict::CallVerdict::NotRun(_)]),
+        matches!(pair.verdicts[..], [verdict::CallVerdict::NotRun(_)]),
         "{:?}",
-        pair.told
+        pair.verdicts
     );
 }
 
@@ -237,7 +243,8 @@
     lookup_just_before_the_end => ("GET", millis(1_000), millis(950)),
 }
 
-// Guards against the answer of a long run that is lost in a silent connection, as its call came long ago.
+// Guards against the loss of a long run's answer in a silent connection whose last call is long
+// past.
 #[test]
 fn the_answer_of_a_long_run_outlasts_a_silent_connection() {
     let mut pair = SilentPair::start();
@@ -252,12 +259,12 @@
     pair.silent = true;
     pair.end_run();
     pair.run(millis(8_000));
-    assert_eq!(pair.told, [verdict::CallVerdict::Answered]);
+    assert_eq!(pair.verdicts, [verdict::CallVerdict::Answered]);
 }
 
-// Guards against a stop that waits without end for members that are gone.
+// Guards against a stop that waits forever for members that no longer answer.
 #[test]
-fn a_stop_waits_for_no_lost_member() {
+fn a_stop_does_not_wait_for_unreachable_members() {
     let mut pair = SilentPair::start();
     pair.lossy_until = pair.now + Duration::from_secs(60);
     pair.push(
@@ -265,14 +272,14 @@
         Duration::ZERO,
         event::NodeEvent::StopRequested,
     );
-    let asked = pair.now;
+    let requested_at = pair.now;
     pair.run(Duration::from_secs(8));
-    let took = pair.gone.unwrap().since(asked);
+    let took = pair.exited_at.unwrap().since(requested_at);
     assert!(took < Duration::from_millis(2_500), "{took:?}");
 }
 
-/// Tells `to`, as a third node would, that `gone` has crashed.
-fn accuse(pair: &mut SilentPair, to: ident::NodeId, gone: ident::NodeId) {
+/// Sends `to` a rumour from a third node that `dead` has crashed.
+fn send_crash_rumour(pair: &mut SilentPair, to: ident::NodeId, dead: ident::NodeId) {
     let message = gossip::GossipMessage {
         head: gossip::GossipHead {
             from: ident::NodeId(3),
@@ -282,7 +289,7 @@
         },
         kind: gossip::GossipKind::Rumour,
         updates: vec![gossip::MemberUpdate {
-            node: gone,
+            node: dead,
             incarnation: 1_000,
             status: gossip::MemberStatus::Dead,
         }],
@@ -292,9 +299,10 @@
     pair.push(to, Duration::ZERO, arrived);
 }
 
-// Guards against calls that are given up as their target's node is believed gone, while the connection
-// there works and the target is at work; and against runs that are cancelled as their entry node is.
-fn check_wrong_belief(method: &str, believer: ident::NodeId, stopping: bool) {
+// Guards against ending calls because their target's node is wrongly reported dead, although the
+// connection to it works and the target is running them, and against cancelling runs because their
+// entry node is wrongly reported dead.
+fn check_false_crash_rumour(method: &str, misinformed: ident::NodeId, stopping: bool) {
     let mut pair = SilentPair::start();
     pair.call(method);
     pair.run(millis(100));
@@ -305,24 +313,24 @@
             event::NodeEvent::StopRequested,
         );
     }
-    let other = match believer {
+    let other = match misinformed {
         support::NODE => support::PEER,
         _ => support::NODE,
     };
-    accuse(&mut pair, believer, other);
+    send_crash_rumour(&mut pair, misinformed, other);
     pair.run(millis(100));
-    assert!(pair.told.is_empty(), "{:?}", pair.told);
+    assert!(pair.verdicts.is_empty(), "{:?}", pair.verdicts);
     assert_eq!(pair.cancelled, 0);
     pair.end_run();
     pair.run(millis(500));
-    assert_eq!(pair.told, [verdict::CallVerdict::Answered]);
+    assert_eq!(pair.verdicts, [verdict::CallVerdict::Answered]);
 }
 
 anvil_testkit::test_cases! {
-    check_wrong_belief:
-    of_the_entry_node_claim => ("POST", support::NODE, false),
-    of_the_entry_node_lookup => ("GET", support::NODE, false),
-    of_the_entry_node_at_a_stop => ("POST", support::NODE, true),
-    of_the_targets_node_claim => ("POST", support::PEER, false),
-    of_the_targets_node_lookup => ("GET", support::PEER, false),
+    check_false_crash_rumour:
+    claim_with_misinformed_entry_node => ("POST", support::NODE, false),
+    lookup_with_misinformed_entry_node => ("GET", support::NODE, false),
+    claim_with_misinformed_entry_node_at_a_stop => ("POST", support::NODE, true),
+    claim_with_misinformed_target_node => ("POST", support::PEER, false),
+    lookup_with_misinformed_target_node => ("GET", support::PEER, false),
 }
--- a/crates/anvil_core/tests/support/mod.rs
+++ b/crates/anvil_core/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! One node, its target and one peer, driven event by event.
+//! Helpers that drive one node, its target and one peer event by event.
 
 #![allow(clippy::unwrap_used, dead_code, missing_docs, unreachable_pub)]
 
@@ -31,12 +31,12 @@
     reducer::NodeReducer::new(config(), 1)
 }
 
-/// The same under another identity.
-pub fn node_of(node: ident::NodeId) -> reducer::NodeReducer {
+/// An entry node with another id.
+pub fn node_with_id(node: ident::NodeId) -> reducer::NodeReducer {
     reducer::NodeReducer::new(config::NodeConfig { node, ..config() }, 1)
 }
 
-/// A node that knows of others and has not heard from them yet.
+/// A node that has a seed and has received nothing from it yet.
 pub fn fresh_node() -> reducer::NodeReducer {
     let mut config = config();
     config.seeds = vec![address(7009)];
@@ -66,7 +66,7 @@
     node
 }
 
-/// The announcement of a target that has only just started.
+/// The announcement of a target that has just started.
 pub fn announcement(slots: u32) -> event::NodeEvent {
     event::NodeEvent::TargetAnnounced(event::TargetAnnouncement {
         service: service(),
@@ -79,8 +79,8 @@
     })
 }
 
-/// Tells `node` of a peer that offers the service.
-pub fn learn(node: &mut reducer::NodeReducer, peer: ident::NodeId) {
+/// Adds a peer with a target of the service to those known to `node`.
+pub fn add_peer(node: &mut reducer::NodeReducer, peer: ident::NodeId) {
     let record = directory::PeerRecord {
         address: address(7100 + u16::try_from(peer.0).unwrap()),
         service: service(),
@@ -110,7 +110,7 @@
     }
 }
 
-/// A call of the peer, as its frame arrives.
+/// The arrival of a call frame from the peer.
 pub fn peer_call(sequence: u64, idempotent: bool) -> event::NodeEvent {
     let treatment = treatment::RuleTreatment {
         idempotent,
@@ -149,8 +149,8 @@
     }
 }
 
-/// A call that the local target makes on behalf of `run`.
-pub fn call_of(run: event::RunId) -> event::NodeEvent {
+/// The arrival of a call that the local target makes on behalf of `run`.
+pub fn child_call(run: event::RunId) -> event::NodeEvent {
     event::NodeEvent::CallArrived {
         handle: event::CallerHandle(1),
         request: Box::new(request("GET")),
@@ -161,7 +161,7 @@
     }
 }
 
-/// The calls among the frames that leave.
+/// The calls among the frames sent, each with its receiver.
 pub fn sent_calls(effects: &[effect::NodeEffect]) -> Vec<(ident::NodeId, call::PeerCall)> {
     let calls = effects.iter().filter_map(|effect| match effect {
         effect::NodeEffect::SendFrame {
@@ -174,8 +174,8 @@
     calls.collect()
 }
 
-/// A run that ended whole.
-pub fn whole() -> event::RunOutcome {
+/// The outcome of a run with a complete answer.
+pub fn answered() -> event::RunOutcome {
     event::RunOutcome::Answered(call::CallAnswer {
         status: 200,
         headers: Vec::new(),
@@ -183,13 +183,13 @@
     })
 }
 
-/// An answer of `peer` to a call, as its frame arrives.
+/// The arrival of a frame with `peer`'s answer to a call.
 pub fn answer(
     peer: ident::NodeId,
     call: &call::PeerCall,
     verdict: verdict::CallVerdict,
 ) -> event::NodeEvent {
-    let whole = call::CallAnswer {
+    let content = call::CallAnswer {
         status: 200,
         headers: Vec::new(),
         body: Bytes::from_static(b"whole"),
@@ -199,7 +199,7 @@
         call: call.call,
         attempt: call.attempt,
         verdict,
-        answer: answered.then_some(whole),
+        answer: answered.then_some(content),
         retries_spent: 0,
         failed_below: false,
         load: call::LoadReport::default(),
@@ -210,6 +210,7 @@
     }
 }
 
+/// The runs that were started at the local target.
 pub fn started(effects: &[effect::NodeEffect]) -> Vec<event::RunId> {
     let runs = effects.iter().filter_map(|effect| match effect {
         effect::NodeEffect::RunTarget(order) => Some(order.run),
@@ -218,6 +219,7 @@
     runs.collect()
 }
 
+/// The replies to callers, each with the caller's handle.
 pub fn replies(effects: &[effect::NodeEffect]) -> Vec<(u64, verdict::CallVerdict)> {
     let replies = effects.iter().filter_map(|effect| match effect {
         effect::NodeEffect::ReplyCaller { handle, reply } => Some((handle.0, reply.verdict)),
@@ -226,7 +228,7 @@
     replies.collect()
 }
 
-/// Wakes `node` whenever it asks, up to `until`, and collects what it does.
+/// Fires all timers of `node` that are due up to `until`, and collects the effects.
 pub fn run_until(
     node: &mut reducer::NodeReducer,
     until: time::NodeTime,
--- a/crates/anvil_core/tests/verdicts.rs
+++ b/crates/anvil_core/tests/verdicts.rs
@@ -1,4 +1,4 @@
-//! What callers are told is true, and repeated frames run nothing twice.
+//! Verdicts are accurate, and duplicated frames start no second run or reply.
 
 #![allow(clippy::unwrap_used)]
 
@@ -7,23 +7,23 @@
 use anvil_core::event;
 use anvil_types::{ident, verdict};
 
-// The caller of a lookup is told "may have run", not "not run". Its first attempt breaks off at
-// a target, so it may have run; the retry is refused as not run by the next one, and the
-// allowance allows no further attempt in time. "Not run" would be true of the last attempt only.
+// The first attempt of a lookup breaks at its target and may have run; the retries are refused as
+// not run until the retry allowance is exhausted. The caller must be told "may have run", since
+// "not run" is true of the retries only.
 #[test]
 fn doubt_of_an_earlier_attempt_outlasts_a_refusal() {
     let mut node = support::entry_node();
-    support::learn(&mut node, support::PEER);
-    support::learn(&mut node, ident::NodeId(3));
+    support::add_peer(&mut node, support::PEER);
+    support::add_peer(&mut node, ident::NodeId(3));
     let mut effects = node.step(support::at(1), support::arrival(1, "GET"));
-    let doubt = verdict::CallVerdict::MayHaveRun(verdict::UncertaintyReason::ConnectionLost);
+    let may_have_run = verdict::CallVerdict::MayHaveRun(verdict::UncertaintyReason::ConnectionLost);
     let refusal = verdict::CallVerdict::NotRun(verdict::RefusalReason::QueueFull);
-    let mut verdicts = [doubt, refusal, refusal, refusal, refusal].into_iter();
+    let mut verdicts = [may_have_run, refusal, refusal, refusal, refusal].into_iter();
     let mut now = 2;
-    let told = loop {
+    let reported = loop {
         let replies = support::replies(&effects);
-        if let Some((_, told)) = replies.first() {
-            break *told;
+        if let Some((_, reported)) = replies.first() {
+            break *reported;
         }
         effects = match support::sent_calls(&effects).first() {
             Some((peer, call)) => {
@@ -34,16 +34,16 @@
         };
         now += 50;
     };
-    assert_eq!(told, doubt);
+    assert_eq!(reported, may_have_run);
 }
 
-// The same lookup waits for its retry when its entry node is stopped by force. The attempt before
-// the pause broke off, so the caller is told "may have run", though nothing is out at the moment.
+// The same lookup is waiting for its retry when its entry node is forced to stop. Its first attempt
+// broke, so the caller must be told "may have run" although no attempt is in flight.
 #[test]
 fn doubt_of_an_earlier_attempt_outlasts_a_forced_stop() {
     let mut node = support::entry_node();
-    support::learn(&mut node, support::PEER);
-    support::learn(&mut node, ident::NodeId(3));
+    support::add_peer(&mut node, support::PEER);
+    support::add_peer(&mut node, ident::NodeId(3));
     let effects = node.step(support::at(1), support::arrival(1, "GET"));
     let (peer, call) = support::sent_calls(&effects).remove(0);
     let lost = verdict::CallVerdict::MayHaveRun(verdict::UncertaintyReason::ConnectionLost);
@@ -54,8 +54,8 @@
     assert_eq!(support::replies(&effects), [(1, lost)]);
 }
 
-// The clerk files a claim once. The frame that carries it reaches the target's node twice: once
-// before and once after the run has ended. The second frame must start nothing.
+// The frame of a claim is duplicated on its way to the target's node. Neither a duplicate that
+// arrives during the run nor one that arrives after it may start a second run.
 #[test]
 fn repeated_frame_starts_no_second_run() {
     let mut node = support::target_node(8);
@@ -73,19 +73,19 @@
     assert!(support::started(&after).is_empty());
 }
 
-// Two answers to one attempt arrive, the second one late. The caller has one reply; the second
-// answer reaches nobody.
+// Two answers to one attempt arrive. The caller gets one reply, and the late answer must not be
+// delivered to it or to another caller.
 #[test]
 fn repeated_answer_reaches_no_caller() {
     let mut node = support::entry_node();
-    support::learn(&mut node, support::PEER);
+    support::add_peer(&mut node, support::PEER);
     let effects = node.step(support::at(1), support::arrival(1, "GET"));
     let (peer, call) = support::sent_calls(&effects).remove(0);
-    let whole = verdict::CallVerdict::Answered;
-    let first = node.step(support::at(2), support::answer(peer, &call, whole));
-    assert_eq!(support::replies(&first), [(1, whole)]);
+    let answered = verdict::CallVerdict::Answered;
+    let first = node.step(support::at(2), support::answer(peer, &call, answered));
+    assert_eq!(support::replies(&first), [(1, answered)]);
     let other = node.step(support::at(3), support::arrival(2, "GET"));
     assert!(support::replies(&other).is_empty());
-    let second = node.step(support::at(4), support::answer(peer, &call, whole));
+    let second = node.step(support::at(4), support::answer(peer, &call, answered));
     assert!(support::replies(&second).is_empty());
 }
--- a/crates/anvil_core/tests/whole_path.rs
+++ b/crates/anvil_core/tests/whole_path.rs
@@ -1,4 +1,4 @@
-//! A request through the reducer of one node that has a target beside it.
+//! Requests through the reducer of one node with a local target.
 
 #![allow(clippy::unwrap_used)]
 
@@ -68,7 +68,7 @@
     replies.collect()
 }
 
-fn whole() -> event::RunOutcome {
+fn answered() -> event::RunOutcome {
     event::RunOutcome::Answered(call::CallAnswer {
         status: 200,
         headers: Vec::new(),
@@ -83,7 +83,7 @@
     assert_eq!(runs.len(), 1);
     let ended = event::NodeEvent::RunEnded {
         run: runs[0],
-        outcome: whole(),
+        outcome: answered(),
     };
     let effects = node.step(at(2), ended);
     assert_eq!(replies(&effects), [(1, verdict::CallVerdict::Answered)]);
@@ -100,10 +100,9 @@
     );
 }
 
-// The caller whose request waits in the queue is told "not run", the one whose request is out
-// at the target "may have run". Two stop signals come while the only slot is taken: the first
-// lets both requests go on, the second ends them. The queued one must not be started by the end
-// of the first, or its refusal would be a lie.
+// Two stop requests arrive while one request runs in the only slot and another is queued. The first
+// lets both continue, the second ends them: the running one as "may have run", the queued one as
+// "not run". Ending the first must not start the queued one, since "not run" would then be false.
 #[test]
 fn forced_stop_tells_queued_from_running() {
     let mut node = node();
@@ -113,8 +112,8 @@
     let effects = node.step(at(4), event::NodeEvent::StopRequested);
     assert!(started(&effects).is_empty());
     let verdicts = replies(&effects);
-    let doubt = verdict::CallVerdict::MayHaveRun(verdict::UncertaintyReason::Stopped);
-    assert_eq!(verdicts[0], (1, doubt));
+    let may_have_run = verdict::CallVerdict::MayHaveRun(verdict::UncertaintyReason::Stopped);
+    assert_eq!(verdicts[0], (1, may_have_run));
     assert_eq!(
         verdicts[1],
         (
