--- a/crates/anvil_once/src/grant.rs
+++ b/crates/anvil_once/src/grant.rs
@@ -9,13 +9,13 @@
 
 /// The primary's decision on a request for a key.
 enum GrantDecision {
-    /// Grant: the key is already recorded for this call.
+    /// The key is already recorded for this call, which may run it.
     Grant,
-    /// Wait: the backup has not acknowledged the call's record yet.
+    /// The key is granted once the backup has acknowledged the call's record.
     Wait,
-    /// Record the key, since it is new.
+    /// The key is new and has to be recorded first.
     Record,
-    /// Refuse: the call must not run the key now.
+    /// The call must not run the key now.
     Refuse(key::KeyRefusal),
 }
 
--- a/crates/anvil_rules/src/change.rs
+++ b/crates/anvil_rules/src/change.rs
@@ -75,7 +75,7 @@
         name: name::RuleName,
     },
     /// Two rules have the same name.
-    #[display("two rules have the name {name}")]
+    #[display("there are two rules {name}")]
     Duplicate {
         /// The name.
         name: name::RuleName,
@@ -99,7 +99,7 @@
         limit: usize,
     },
     /// Two accounts have the same name.
-    #[display("two accounts have the name {name}")]
+    #[display("there are two accounts {name}")]
     DuplicateAccount {
         /// The name.
         name: name::AccountName,
