--- a/crates/anvil_once/examples/key_figures.rs
+++ b/crates/anvil_once/examples/key_figures.rs
@@ -88,12 +88,15 @@
     let record = std::mem::size_of::<table::KeyEntry>() + std::mem::size_of::<(u64, u128)>();
     let records = KEYED_CALLS_PER_SECOND / slots * retention;
     println!();
-    println!("bytes of one record with its age line: {record}");
+    println!("bytes of one record with its entry in the list of ages: {record}");
     println!(
         "records in one slot: {records:.0} of {} allowed",
         policy.max_records
     );
     println!("MB in one slot: {:.1}", records * record as f64 / 1e6);
-    println!("roles of one node at 14,000: {:.2}", slots_of_node * 2.0);
-    println!("roles of one node at 16: {:.0}", slots * 2.0 / 16.0);
+    println!(
+        "slots owned by one node of 14,000: {:.2}",
+        slots_of_node * 2.0
+    );
+    println!("slots owned by one node of 16: {:.0}", slots * 2.0 / 16.0);
 }
