--- a/crates/anvil_core/src/accounts.rs
+++ b/crates/anvil_core/src/accounts.rs
@@ -6,10 +6,10 @@
 use std::time::Duration;
 
 use anvil_overload::refusal;
-use anvil_quota::{effect as quota, ledger};
-use anvil_rules::account as table;
+use anvil_quota::{effect as quota_effect, ledger};
+use anvil_rules::account as account_table;
 use anvil_types::{account, context, ident, name, treatment, verdict};
-use anvil_wire::{gossip, quota as message};
+use anvil_wire::{gossip, quota as quota_message};
 use serde_json::json;
 
 use crate::{calls, effect, entry, event, reducer};
@@ -26,7 +26,7 @@
     /// None is required: no accounts are in force, or the route is public.
     Anonymous,
     /// The account whose key the caller sent.
-    Account(Arc<table::AccountRecord>),
+    Account(Arc<account_table::AccountRecord>),
     /// The account of the run on whose behalf the local target calls.
     Inherited(Option<name::AccountName>),
     /// The caller is not allowed to call.
@@ -145,17 +145,17 @@
             return true;
         };
         match self.quota.admit(self.now, account, sequence) {
-            quota::QuotaDecision::Granted => {
+            quota_effect::QuotaDecision::Granted => {
                 self.hold_token(sequence);
                 true
             }
-            quota::QuotaDecision::Pending => {
+            quota_effect::QuotaDecision::Pending => {
                 if let Some(open) = self.calls.get_mut(sequence) {
                     open.stage = calls::CallStage::Metering;
                 }
                 false
             }
-            quota::QuotaDecision::Refused { pause } => {
+            quota_effect::QuotaDecision::Refused { pause } => {
                 self.refuse_over_quota(sequence, pause);
                 false
             }
@@ -200,7 +200,7 @@
         &mut self,
         from: SocketAddr,
         head: gossip::GossipHead,
-        message: &message::QuotaMessage,
+        message: &quota_message::QuotaMessage,
     ) {
         if head.from == self.config.node {
             return;
@@ -250,29 +250,31 @@
         self.quota.counters()
     }
 
-    fn apply_quota_effects(&mut self, effects: Vec<quota::QuotaEffect>) {
+    fn apply_quota_effects(&mut self, effects: Vec<quota_effect::QuotaEffect>) {
         for effect in effects {
             match effect {
-                quota::QuotaEffect::Send { to, message } => {
+                quota_effect::QuotaEffect::Send { to, message } => {
                     let kind = gossip::GossipKind::Quota(message);
                     let sent = self.fleet.message(to, kind);
                     self.apply_fleet_effects(vec![sent]);
                 }
-                quota::QuotaEffect::Grant { call } => self.token_granted(call),
-                quota::QuotaEffect::Refuse { call, pause } => self.refuse_over_quota(call, pause),
-                quota::QuotaEffect::Log(change) => self.report_home_change(change),
+                quota_effect::QuotaEffect::Grant { call } => self.token_granted(call),
+                quota_effect::QuotaEffect::Refuse { call, pause } => {
+                    self.refuse_over_quota(call, pause);
+                }
+                quota_effect::QuotaEffect::Log(change) => self.report_home_change(change),
             }
         }
     }
 
     /// Logs a change of the home node that counts an account's requests.
-    fn report_home_change(&mut self, change: quota::HomeChange) {
+    fn report_home_change(&mut self, change: quota_effect::HomeChange) {
         let text = match change {
-            quota::HomeChange::Left { account, home } => {
+            quota_effect::HomeChange::Left { account, home } => {
                 let name = self.account_name(account);
                 format!("home left: account={name} to={home}")
             }
-            quota::HomeChange::Taken {
+            quota_effect::HomeChange::Taken {
                 account,
                 from,
                 uses,
--- a/crates/anvil_core/src/admitting.rs
+++ b/crates/anvil_core/src/admitting.rs
@@ -69,13 +69,13 @@
         let Some(run) = self.runs.get(id) else {
             return;
         };
-        let standing = self.overload.poison.status(now, run.context.print);
+        let status = self.overload.poison.status(now, run.context.print);
         let waiting = admission::WaitingCall {
             id: id.0,
             rank: rank::CallRank::of(&run.context),
             deadline: run.deadline,
             queue_wait: run.treatment.queue_wait,
-            suspect: standing == quarantine::PrintStatus::Suspect,
+            suspect: status == quarantine::PrintStatus::Suspect,
         };
         let Some(admission) = &mut self.overload.admission else {
             return;
@@ -152,14 +152,14 @@
                 }
                 admission.set_slots(now, slots)
             }
-            former => {
-                let left = former.as_mut().map(admission::AdmissionQueue::leave);
-                let fresh = match warm {
+            queue => {
+                let refusals = queue.as_mut().map(admission::AdmissionQueue::leave);
+                let new_queue = match warm {
                     true => admission::AdmissionQueue::warm(now, slots, policy),
                     false => admission::AdmissionQueue::new(now, slots, policy),
                 };
-                *former = Some(fresh);
-                left.unwrap_or_default()
+                *queue = Some(new_queue);
+                refusals.unwrap_or_default()
             }
         };
         self.apply_decisions(decisions);
@@ -230,7 +230,7 @@
         let Some(request) = run.request.take() else {
             return;
         };
-        let told = match self.overload.policy.cancellation {
+        let timeout = match self.overload.policy.cancellation {
             true => run.deadline.since(now),
             false => policy::NAIVE_TIMEOUT,
         };
@@ -243,7 +243,7 @@
             request,
             root: run.context.request,
             idempotent: run.context.idempotent,
-            timeout: told,
+            timeout,
         };
         let (print, rule) = (run.context.print, overload::crash_rule(&run.treatment));
         let keyed = run.keyed_record(id);
@@ -251,8 +251,8 @@
         self.counters.runs_started += 1;
         self.effects
             .push(effect::NodeEffect::RunTarget(Box::new(order)));
-        if let Some(note) = keyed.filter(|_| self.guards_keys()) {
-            self.log_request(effect::StateChange::KeyedCall(Box::new(note)));
+        if let Some(record) = keyed.filter(|_| self.guards_keys()) {
+            self.log_request(effect::StateChange::KeyedCall(Box::new(record)));
         }
     }
 
@@ -260,8 +260,8 @@
         let Some(run) = self.runs.get(id) else {
             return;
         };
-        let (service, context, mark) = (run.service.clone(), run.context, run.rule);
-        self.record_refusal(&service, &context, mark, cause);
+        let (service, context, rule) = (run.service.clone(), run.context, run.rule);
+        self.record_refusal(&service, &context, rule, cause);
         self.counters.runs_refused += 1;
         self.finish_run(id, verdict::CallVerdict::NotRun(cause.reason), None);
     }
--- a/crates/anvil_core/src/applying.rs
+++ b/crates/anvil_core/src/applying.rs
@@ -42,14 +42,14 @@
     pub(crate) fn apply_requested(
         &mut self,
         handle: event::OperatorHandle,
-        asked: &RequestedChange,
+        requested: &RequestedChange,
     ) {
         // If the answer to an apply was lost, the operator repeats it with the same id; it must not
         // be refused as a conflict with itself.
-        if let Some(revision) = self.accepted_revision(asked.change) {
+        if let Some(revision) = self.accepted_revision(requested.change) {
             return self.answer_operator(handle, Ok(accepted(revision)));
         }
-        match self.prepare_change(asked) {
+        match self.prepare_change(requested) {
             Ok(change) if change.edits.is_empty() => {
                 let revision = self.book.revision();
                 let text = json!({ "revision": revision, "edits": 0 }).to_string();
@@ -66,21 +66,21 @@
     /// decided without knowing the other change, and the order of the rules matters.
     fn prepare_change(
         &self,
-        asked: &RequestedChange,
+        requested: &RequestedChange,
     ) -> Result<change::RuleChange, answer::OperatorRefusal> {
         let revision = self.book.revision();
-        if asked.base != revision {
+        if requested.base != revision {
             return Err(answer::OperatorRefusal::Conflict {
-                base: asked.base,
+                base: requested.base,
                 revision,
-                others: self.changes_since(asked.base),
+                others: self.changes_since(requested.base),
             });
         }
         Ok(change::RuleChange {
-            id: asked.change,
-            author: asked.author.clone(),
-            base: asked.base,
-            edits: change::diff(self.book.document(), &asked.rules),
+            id: requested.change,
+            author: requested.author.clone(),
+            base: requested.base,
+            edits: change::diff(self.book.document(), &requested.rules),
         })
     }
 
@@ -185,18 +185,22 @@
     }
 
     fn accepted_revision(&self, change: u128) -> Option<ident::RuleRevision> {
-        let mut held = self.fleet.changes();
-        held.find(|held| held.change == change)
-            .map(|held| held.revision)
+        let mut retained = self.fleet.changes();
+        retained
+            .find(|retained| retained.change == change)
+            .map(|retained| retained.revision)
     }
 
     fn changes_since(&self, base: ident::RuleRevision) -> Vec<answer::ChangeSummary> {
-        let behind = self.fleet.changes().filter(|held| held.revision > base);
-        let notes = behind.filter_map(|held| {
-            let change = codec::decode_change(&held.body).ok()?;
-            Some(answer::ChangeSummary::of(held.revision, &change))
+        let newer = self
+            .fleet
+            .changes()
+            .filter(|retained| retained.revision > base);
+        let summaries = newer.filter_map(|retained| {
+            let change = codec::decode_change(&retained.body).ok()?;
+            Some(answer::ChangeSummary::of(retained.revision, &change))
         });
-        notes.collect()
+        summaries.collect()
     }
 
     fn not_applied(&mut self, handle: event::OperatorHandle, reason: String) {
--- a/crates/anvil_core/src/calls.rs
+++ b/crates/anvil_core/src/calls.rs
@@ -94,8 +94,8 @@
     /// therefore takes precedence, and "not run" is only reported if it holds for all attempts.
     pub fn final_verdict(&self, last: verdict::CallVerdict) -> verdict::CallVerdict {
         match (last, self.uncertainty) {
-            (verdict::CallVerdict::NotRun(_), Some(doubt)) => {
-                verdict::CallVerdict::MayHaveRun(doubt)
+            (verdict::CallVerdict::NotRun(_), Some(reason)) => {
+                verdict::CallVerdict::MayHaveRun(reason)
             }
             (last, _) => last,
         }
--- a/crates/anvil_core/src/contexts.rs
+++ b/crates/anvil_core/src/contexts.rs
@@ -15,8 +15,8 @@
         by_rule: Option<context::PriorityClass>,
         hints: &event::CallerHints,
     ) -> context::CallContext {
-        let minted = u128::from(self.random()) << 64 | u128::from(self.random());
-        let id = hints.request.unwrap_or(ident::RequestId(minted));
+        let random_id = u128::from(self.random()) << 64 | u128::from(self.random());
+        let id = hints.request.unwrap_or(ident::RequestId(random_id));
         let lane = xxh3::xxh3_64(&id.0.to_le_bytes()).to_le_bytes()[0];
         let lane = context::LaneHash(lane);
         let lane = by_rule.map_or(lane, |class| lane.banded(class));
@@ -58,9 +58,9 @@
             kind: kind::CallKind::of(request),
         };
         parent.waits.begin(now, needed);
-        let left = parent.deadline.since(now);
+        let remaining = parent.deadline.since(now);
         let wait = hints.timeout.unwrap_or(treatment.deadline);
-        let wait = wait.min(treatment.deadline).min(left);
+        let wait = wait.min(treatment.deadline).min(remaining);
         Some(context::CallContext {
             request: parent.context.request,
             class: parent.context.class,
--- a/crates/anvil_core/src/entry.rs
+++ b/crates/anvil_core/src/entry.rs
@@ -27,7 +27,7 @@
     ) {
         let rulebook::BookDecision {
             mut treatment,
-            rule: mark,
+            rule,
             send_to,
             ..
         } = self.book.decide(&request);
@@ -59,7 +59,7 @@
             let verdict = not_run(verdict::RefusalReason::Cancelled);
             let label = hints.label.clone();
             let reply = effect::CallerReply {
-                rule: mark,
+                rule,
                 ..effect::CallerReply::without_answer(label, verdict, None)
             };
             self.reply(handle, reply);
@@ -77,7 +77,7 @@
             holds_root: false,
             refused: None,
             treatment,
-            rule: mark,
+            rule,
             arrived: self.now,
             deadline,
             attempts: 0,
@@ -301,11 +301,11 @@
         // The caller will send the request again with the same key. If this copy were cancelled, its
         // outcome would stay uncertain; instead it finishes, and the owner of the key answers the
         // second copy with the recorded answer.
-        let kept = self.calls.get(sequence).is_some_and(|open| {
-            let out = matches!(open.stage, calls::CallStage::Out { .. });
-            out && self.guards_keys() && open.guarded_key().is_some()
+        let must_finish = self.calls.get(sequence).is_some_and(|open| {
+            let in_flight = matches!(open.stage, calls::CallStage::Out { .. });
+            in_flight && self.guards_keys() && open.guarded_key().is_some()
         });
-        if !kept {
+        if !must_finish {
             self.abandon_call(sequence);
         }
     }
@@ -431,7 +431,7 @@
         if !request_log::is_logged(verdict, status, open.context.lane) {
             return;
         }
-        let note = request_log::CallSummary {
+        let summary = request_log::CallSummary {
             request: open.label.clone(),
             root: open.context.request,
             service: open.request.service.clone(),
@@ -450,7 +450,7 @@
             left_ms: request_log::millis(open.deadline.since(self.now)),
             retry_after_ms: retry_after.map(request_log::millis),
         };
-        self.log_request(effect::StateChange::CallEnded(Box::new(note)));
+        self.log_request(effect::StateChange::CallEnded(Box::new(summary)));
     }
 
     pub(crate) fn reply(&mut self, handle: event::CallerHandle, reply: effect::CallerReply) {
--- a/crates/anvil_core/src/keys.rs
+++ b/crates/anvil_core/src/keys.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use anvil_once::{dump, effect as once, event as moment, owner, peers, policy};
+use anvil_once::{dump, effect as key_effect, event as key_event, owner, peers, policy};
 use anvil_overload::refusal;
 use anvil_types::{ident, name, sorted, store, time, verdict};
 use anvil_wire::{call, frame, key};
@@ -132,14 +132,14 @@
             return false;
         };
         open.stage = calls::CallStage::Asking;
-        let ask = moment::KeyEvent::Request {
+        let request = key_event::KeyEvent::Request {
             call,
             key,
             fingerprint: open.context.print,
             wait: open.deadline.since(self.now).min(MAX_KEY_WAIT),
         };
         self.log_keyed_step(sequence, request_log::KeyedStep::Asked);
-        self.step_keys(ask);
+        self.step_keys(request);
         true
     }
 
@@ -175,7 +175,7 @@
         };
         let call = self.call_id(sequence);
         if open.stage == calls::CallStage::Asking {
-            self.step_keys(moment::KeyEvent::Abandon { call });
+            self.step_keys(key_event::KeyEvent::Abandon { call });
             return;
         }
         self.log_request(effect::StateChange::KeyedCall(Box::new(
@@ -187,13 +187,13 @@
             },
         )));
         let outcome = call_end(verdict, answer);
-        self.step_keys(moment::KeyEvent::Ended { call, outcome });
+        self.step_keys(key_event::KeyEvent::Ended { call, outcome });
     }
 
     pub(crate) fn key_arrived(&mut self, from: ident::NodeId, frame: key::KeyFrame) {
         self.keys.note_sender(from, frame.reply_to);
         let message = frame.message;
-        self.step_keys(moment::KeyEvent::Message { from, message });
+        self.step_keys(key_event::KeyEvent::Message { from, message });
     }
 
     /// Records that a frame was received from a node, so its connection is not broken.
@@ -212,7 +212,7 @@
             self.update_key_peer_health(node);
         }
         self.keys.unknown_peers.remove(node);
-        self.step_keys(moment::KeyEvent::Unreachable { node });
+        self.step_keys(key_event::KeyEvent::Unreachable { node });
     }
 
     /// Adds or updates a node that may own keys.
@@ -254,7 +254,7 @@
         health: peers::PeerHealth,
     ) {
         let since = self.now;
-        self.step_keys(moment::KeyEvent::Peer(peers::KeyPeer {
+        self.step_keys(key_event::KeyEvent::Peer(peers::KeyPeer {
             node,
             zone,
             health,
@@ -263,19 +263,19 @@
     }
 
     pub(crate) fn key_store_answered(&mut self, id: store::StoreId, outcome: store::StoreOutcome) {
-        let id = once::SlotRequestId(id.sequence);
+        let id = key_effect::SlotRequestId(id.sequence);
         let reply = self.store_reply(outcome);
-        self.step_keys(moment::KeyEvent::StoreReplied { id, reply });
+        self.step_keys(key_event::KeyEvent::StoreReplied { id, reply });
     }
 
     pub(crate) fn wake_keys(&mut self) {
         if self.keys.next_wake().is_some_and(|due| due <= self.now) {
-            self.step_keys(moment::KeyEvent::Tick);
+            self.step_keys(key_event::KeyEvent::Tick);
         }
     }
 
     pub(crate) fn leave_keys(&mut self) {
-        self.step_keys(moment::KeyEvent::Leave);
+        self.step_keys(key_event::KeyEvent::Leave);
     }
 
     /// Whether a stopping node has no keys left to hand over.
@@ -292,21 +292,23 @@
         serde_json::json!(self.keys.owner.counters())
     }
 
-    fn step_keys(&mut self, event: moment::KeyEvent) {
+    fn step_keys(&mut self, event: key_event::KeyEvent) {
         for effect in self.keys.owner.step(self.now, event) {
             self.apply_key_effect(effect);
         }
     }
 
-    fn apply_key_effect(&mut self, effect: once::KeyEffect) {
+    fn apply_key_effect(&mut self, effect: key_effect::KeyEffect) {
         match effect {
-            once::KeyEffect::Send { to, message } => self.send_key(to, message),
-            once::KeyEffect::Dispatch { call } => self.key_granted(call.sequence),
-            once::KeyEffect::Decide { call, verdict } => self.key_decided(call.sequence, verdict),
-            once::KeyEffect::RequestSlot { id, request } => {
+            key_effect::KeyEffect::Send { to, message } => self.send_key(to, message),
+            key_effect::KeyEffect::Dispatch { call } => self.key_granted(call.sequence),
+            key_effect::KeyEffect::Decide { call, verdict } => {
+                self.key_decided(call.sequence, verdict);
+            }
+            key_effect::KeyEffect::RequestSlot { id, request } => {
                 self.send_key_store_request(id, &request);
             }
-            once::KeyEffect::Report(text) => {
+            key_effect::KeyEffect::Report(text) => {
                 self.report(effect::StateChange::Part { part: PART, text });
             }
         }
@@ -319,7 +321,7 @@
                 let frame = key::KeyFrame { reply_to, message };
                 self.send_frame(to, address, frame::PeerFrame::Key(Box::new(frame)));
             }
-            None => self.step_keys(moment::KeyEvent::Unreachable { node: to }),
+            None => self.step_keys(key_event::KeyEvent::Unreachable { node: to }),
         }
     }
 
@@ -331,26 +333,30 @@
         }
     }
 
-    fn key_decided(&mut self, sequence: u64, verdict: once::KeyVerdict) {
+    fn key_decided(&mut self, sequence: u64, verdict: key_effect::KeyVerdict) {
         match verdict {
-            once::KeyVerdict::Answered(answer) => {
+            key_effect::KeyVerdict::Answered(answer) => {
                 self.end_call(sequence, verdict::CallVerdict::Answered, Some(*answer));
             }
-            once::KeyVerdict::NotRun(reason) => {
+            key_effect::KeyVerdict::NotRun(reason) => {
                 self.refuse_call(sequence, reason, refusal::RefusalLimit::Other);
             }
-            once::KeyVerdict::MayHaveRun(reason) => {
+            key_effect::KeyVerdict::MayHaveRun(reason) => {
                 self.end_call(sequence, verdict::CallVerdict::MayHaveRun(reason), None);
             }
         }
     }
 
-    fn send_key_store_request(&mut self, id: once::SlotRequestId, request: &once::SlotRequest) {
+    fn send_key_store_request(
+        &mut self,
+        id: key_effect::SlotRequestId,
+        request: &key_effect::SlotRequest,
+    ) {
         let request = match request {
-            once::SlotRequest::Read { slot } => store::StoreAsk::Get {
+            key_effect::SlotRequest::Read { slot } => store::StoreAsk::Get {
                 key: key::slot_key(*slot),
             },
-            once::SlotRequest::Swap { expected, view } => {
+            key_effect::SlotRequest::Swap { expected, view } => {
                 let Ok(value) = key::encode_view(view) else {
                     return;
                 };
@@ -371,22 +377,22 @@
             .push(effect::NodeEffect::SendStoreRequest { id, request });
     }
 
-    fn store_reply(&mut self, outcome: store::StoreOutcome) -> moment::SlotReply {
+    fn store_reply(&mut self, outcome: store::StoreOutcome) -> key_event::SlotReply {
         match outcome {
             store::StoreOutcome::Done(store::StoreReply::Swapped { version }) => {
-                moment::SlotReply::Swapped { version: version.0 }
+                key_event::SlotReply::Swapped { version: version.0 }
             }
             store::StoreOutcome::Done(store::StoreReply::Entry(entry)) => {
                 match self.record(entry) {
-                    Ok(found) => moment::SlotReply::Found(found),
-                    Err(()) => moment::SlotReply::Unknown,
+                    Ok(found) => key_event::SlotReply::Found(found),
+                    Err(()) => key_event::SlotReply::Unknown,
                 }
             }
             store::StoreOutcome::Conflict { current } => match self.record(current) {
-                Ok(found) => moment::SlotReply::Conflict(found),
-                Err(()) => moment::SlotReply::Unknown,
+                Ok(found) => key_event::SlotReply::Conflict(found),
+                Err(()) => key_event::SlotReply::Unknown,
             },
-            _ => moment::SlotReply::Unknown,
+            _ => key_event::SlotReply::Unknown,
         }
     }
 
@@ -410,15 +416,15 @@
 fn call_end(
     verdict: verdict::CallVerdict,
     answer: Option<&call::CallAnswer>,
-) -> moment::CallOutcome {
+) -> key_event::CallOutcome {
     match (verdict, answer) {
         (verdict::CallVerdict::Answered, Some(answer)) => {
-            moment::CallOutcome::Answered(Box::new(answer.clone()))
+            key_event::CallOutcome::Answered(Box::new(answer.clone()))
         }
         (verdict::CallVerdict::Answered, None) => {
-            moment::CallOutcome::MayHaveRun(verdict::DoubtReason::AnswerCut)
+            key_event::CallOutcome::MayHaveRun(verdict::DoubtReason::AnswerCut)
         }
-        (verdict::CallVerdict::NotRun(_), _) => moment::CallOutcome::NotRun,
-        (verdict::CallVerdict::MayHaveRun(reason), _) => moment::CallOutcome::MayHaveRun(reason),
+        (verdict::CallVerdict::NotRun(_), _) => key_event::CallOutcome::NotRun,
+        (verdict::CallVerdict::MayHaveRun(reason), _) => key_event::CallOutcome::MayHaveRun(reason),
     }
 }
--- a/crates/anvil_core/src/operator.rs
+++ b/crates/anvil_core/src/operator.rs
@@ -32,13 +32,13 @@
                 author,
                 base,
             } => {
-                let asked = applying::RequestedChange {
+                let requested = applying::RequestedChange {
                     rules,
                     change,
                     author,
                     base,
                 };
-                return self.apply_requested(handle, &asked);
+                return self.apply_requested(handle, &requested);
             }
         };
         self.answer_operator(handle, Ok(answer::AnswerBody::Json(json.to_string())));
@@ -119,7 +119,7 @@
     }
 
     fn explain(&self, request: &call::CallRequest) -> serde_json::Value {
-        let print = contexts::fingerprint_of(request);
+        let fingerprint = contexts::fingerprint_of(request);
         let kind = kind::CallKind::of(request);
         let line = self.directory.line(self.now, &request.service, kind);
         let refusals: Vec<_> = self
@@ -134,7 +134,7 @@
             "revision": self.book.revision(),
             "rule": self.book.explain(request),
             "cut_line": line,
-            "quarantine": self.quarantine_of(print),
+            "quarantine": self.quarantine_of(fingerprint),
             "recent_refusals": refusals,
         })
     }
--- a/crates/anvil_core/src/outcome_queries.rs
+++ b/crates/anvil_core/src/outcome_queries.rs
@@ -44,18 +44,18 @@
 impl reducer::NodeReducer {
     /// Handles the end of a connection to `peer`, which may have lost calls and answers.
     pub(crate) fn connection_lost(&mut self, peer: ident::NodeId) {
-        let out = self.calls.in_flight_at(peer);
-        let held = self.held_for(peer);
-        if !out.is_empty() || !held.is_empty() {
+        let in_flight = self.calls.in_flight_at(peer);
+        let pending = self.pending_for(peer);
+        if !in_flight.is_empty() || !pending.is_empty() {
             let text = format!(
                 "a connection ended: peer={peer} calls_out={} runs_held={}",
-                out.len(),
-                held.len()
+                in_flight.len(),
+                pending.len()
             );
             self.report(effect::StateChange::Part { part: PART, text });
         }
-        self.query_outcomes(peer, &out);
-        self.announce_held_runs(peer, &held);
+        self.query_outcomes(peer, &in_flight);
+        self.announce_pending_runs(peer, &pending);
         if let Some(to) = self.shutdown.pending_address(peer) {
             self.send_leaving(peer, to);
         }
@@ -72,25 +72,29 @@
     /// list of its runs here. An instance that lost power closes no connection, but it doesn't
     /// answer the queries either.
     pub(crate) fn peer_presumed_crashed(&mut self, peer: ident::NodeId) {
-        let out = self.calls.in_flight_at(peer);
-        let is_asked = |sequence: &u64| {
+        let in_flight = self.calls.in_flight_at(peer);
+        let is_queried = |sequence: &u64| {
             let open = self.calls.get(*sequence);
             open.is_some_and(|open| open.outcome_query.is_some())
         };
-        let (silent, unasked): (Vec<u64>, Vec<u64>) = out.into_iter().partition(is_asked);
+        let (silent, unqueried): (Vec<u64>, Vec<u64>) = in_flight.into_iter().partition(is_queried);
         self.end_lost_calls(peer, &silent);
-        self.query_outcomes(peer, &unasked);
-        let held = self.held_for(peer);
-        self.announce_held_runs(peer, &held);
+        self.query_outcomes(peer, &unqueried);
+        let pending = self.pending_for(peer);
+        self.announce_pending_runs(peer, &pending);
         self.key_unreachable(peer);
     }
 
     /// Sends `peer` the list of its runs at this node, so that it cancels those that it doesn't wait
     /// for.
-    fn announce_held_runs(&mut self, peer: ident::NodeId, held: &[(fate::AttemptId, SocketAddr)]) {
-        if let Some((_, reply_to)) = held.first().copied() {
-            let held: Vec<fate::AttemptId> = held.iter().map(|(id, _)| *id).collect();
-            self.send_held(peer, reply_to, &held);
+    fn announce_pending_runs(
+        &mut self,
+        peer: ident::NodeId,
+        pending: &[(fate::AttemptId, SocketAddr)],
+    ) {
+        if let Some((_, reply_to)) = pending.first().copied() {
+            let pending: Vec<fate::AttemptId> = pending.iter().map(|(id, _)| *id).collect();
+            self.send_pending(peer, reply_to, &pending);
         }
     }
 
@@ -104,7 +108,7 @@
                 self.outcomes_queried(peer, reply_to, &attempts);
             }
             fate::FateMessage::Held { reply_to, attempts } => {
-                self.runs_held(peer, reply_to, &attempts);
+                self.pending_announced(peer, reply_to, &attempts);
             }
             fate::FateMessage::Leaving { reply_to } => self.peer_leaving(peer, reply_to),
         }
@@ -118,12 +122,12 @@
     ) {
         match message {
             fate::FateMessage::Ask { attempts, .. } => {
-                let asked = attempts.iter().map(|asked| asked.id);
-                let still = asked.filter(|id| self.is_awaiting(peer, *id));
-                let out: Vec<u64> = still.map(|id| id.call.sequence).collect();
-                self.query_outcomes(peer, &out);
+                let queried = attempts.iter().map(|queried| queried.id);
+                let awaited = queried.filter(|id| self.is_awaiting(peer, *id));
+                let in_flight: Vec<u64> = awaited.map(|id| id.call.sequence).collect();
+                self.query_outcomes(peer, &in_flight);
             }
-            fate::FateMessage::Held { attempts, .. } => self.held_unsent(&attempts),
+            fate::FateMessage::Held { attempts, .. } => self.pending_unsent(&attempts),
             // A node that can't be reached waits for nothing.
             fate::FateMessage::Leaving { .. } => self.shutdown.confirm(peer),
         }
@@ -132,9 +136,9 @@
     /// Handles the notice that `peer` is about to exit: queries the outcome of the calls in flight
     /// there while it can still answer.
     fn peer_leaving(&mut self, peer: ident::NodeId, to: SocketAddr) {
-        let out = self.calls.in_flight_at(peer);
-        if !out.is_empty() {
-            self.query_outcomes(peer, &out);
+        let in_flight = self.calls.in_flight_at(peer);
+        if !in_flight.is_empty() {
+            self.query_outcomes(peer, &in_flight);
             return;
         }
         let message = fate::FateMessage::Ask {
@@ -161,12 +165,12 @@
     }
 
     /// Queries the outcome of these calls at their node; ends those that were queried too often.
-    fn query_outcomes(&mut self, peer: ident::NodeId, out: &[u64]) {
+    fn query_outcomes(&mut self, peer: ident::NodeId, in_flight: &[u64]) {
         let (reply_to, now) = (self.config.peer_address, self.now);
-        let mut asked = Vec::new();
+        let mut queried = Vec::new();
         let mut lost = Vec::new();
         let mut to = None;
-        for sequence in out.iter().copied() {
+        for sequence in in_flight.iter().copied() {
             let call = self.call_id(sequence);
             let Some(open) = self.calls.get_mut(sequence) else {
                 continue;
@@ -180,7 +184,7 @@
                     self.timers
                         .set(due, timers::TimerKind::OutcomeQuery(sequence));
                     to = Some(address);
-                    asked.push(fate::AskedAttempt {
+                    queried.push(fate::AskedAttempt {
                         id: fate::AttemptId { call, attempt },
                         age_micros: entry::micros(now.since(open.sent_at)),
                         idempotent: open.treatment.idempotent,
@@ -189,8 +193,8 @@
                 None => lost.push(sequence),
             }
         }
-        self.counters.fates_asked += asked.len() as u64;
-        for attempts in asked.chunks(fate::MOST_ATTEMPTS) {
+        self.counters.fates_asked += queried.len() as u64;
+        for attempts in queried.chunks(fate::MOST_ATTEMPTS) {
             let attempts = attempts.to_vec();
             let message = fate::FateMessage::Ask { reply_to, attempts };
             if let Some(to) = to {
@@ -225,8 +229,13 @@
     }
 
     /// Handles the notice that `peer` holds runs for these attempts of this node's calls.
-    fn runs_held(&mut self, peer: ident::NodeId, reply_to: SocketAddr, held: &[fate::AttemptId]) {
-        for id in held {
+    fn pending_announced(
+        &mut self,
+        peer: ident::NodeId,
+        reply_to: SocketAddr,
+        pending: &[fate::AttemptId],
+    ) {
+        for id in pending {
             if self.is_awaiting(peer, *id) {
                 if let Some(open) = self.calls.get_mut(id.call.sequence) {
                     open.outcome_query = None;
@@ -240,27 +249,27 @@
     }
 
     /// The attempts for which this node holds runs of `peer`, and the address for answers.
-    fn held_for(&self, peer: ident::NodeId) -> Vec<(fate::AttemptId, SocketAddr)> {
+    fn pending_for(&self, peer: ident::NodeId) -> Vec<(fate::AttemptId, SocketAddr)> {
         let runs = self.runs.iter().filter(|(_, run)| run.peer == peer);
         runs.map(|(_, run)| (run.attempt_id(), run.reply_to))
             .collect()
     }
 
-    fn send_held(&mut self, peer: ident::NodeId, to: SocketAddr, held: &[fate::AttemptId]) {
+    fn send_pending(&mut self, peer: ident::NodeId, to: SocketAddr, pending: &[fate::AttemptId]) {
         let reply_to = self.config.peer_address;
-        for attempts in held.chunks(fate::MOST_ATTEMPTS) {
+        for attempts in pending.chunks(fate::MOST_ATTEMPTS) {
             let attempts = attempts.to_vec();
             let message = fate::FateMessage::Held { reply_to, attempts };
             self.send_outcome_message(peer, to, message);
         }
     }
 
-    /// Repeats a notice about held runs that could not be sent. After [`MAX_TRIES`] the runs are
+    /// Repeats a notice about pending runs that could not be sent. After [`MAX_TRIES`] the runs are
     /// cancelled, because no answer can reach their entry node.
-    fn held_unsent(&mut self, held: &[fate::AttemptId]) {
-        let mut again = Vec::new();
+    fn pending_unsent(&mut self, pending: &[fate::AttemptId]) {
+        let mut retry = Vec::new();
         let mut to = None;
-        for id in held {
+        for id in pending {
             let Some(run) = self.runs.find_by_attempt(*id) else {
                 continue;
             };
@@ -273,10 +282,10 @@
                 continue;
             }
             to = Some((found.peer, found.reply_to));
-            again.push(*id);
+            retry.push(*id);
         }
         if let Some((peer, reply_to)) = to {
-            self.send_held(peer, reply_to, &again);
+            self.send_pending(peer, reply_to, &retry);
         }
     }
 
@@ -285,23 +294,26 @@
         &mut self,
         peer: ident::NodeId,
         reply_to: SocketAddr,
-        asked: &[fate::AskedAttempt],
+        queried: &[fate::AskedAttempt],
     ) {
         self.shutdown.confirm(peer);
-        let mut held = Vec::new();
-        for attempt in asked.iter().filter(|asked| asked.id.call.node == peer) {
+        let mut pending = Vec::new();
+        for attempt in queried
+            .iter()
+            .filter(|queried| queried.id.call.node == peer)
+        {
             if let Some(run) = self.runs.find_by_attempt(attempt.id) {
                 self.reset_failed_notices(run);
-                held.push(attempt.id);
+                pending.push(attempt.id);
                 continue;
             }
-            if let Some(kept) = self
+            if let Some(cached) = self
                 .memory
                 .record_for(attempt.idempotent)
                 .answers
                 .get(attempt.id)
             {
-                let frame = frame::PeerFrame::Answer(Box::new(kept.clone()));
+                let frame = frame::PeerFrame::Answer(Box::new(cached.clone()));
                 self.counters.fates_answered += 1;
                 self.send_frame(peer, reply_to, frame);
                 continue;
@@ -311,9 +323,9 @@
             // attempt recorded as seen and be answered with "may have run".
             self.send_answer(peer, reply_to, answer, attempt.idempotent);
         }
-        self.counters.fates_held += held.len() as u64;
-        if !held.is_empty() {
-            self.send_held(peer, reply_to, &held);
+        self.counters.fates_held += pending.len() as u64;
+        if !pending.is_empty() {
+            self.send_pending(peer, reply_to, &pending);
         }
     }
 
@@ -328,15 +340,15 @@
     /// An attempt that never arrived is recorded as seen before it is reported as not run. Its frame
     /// may still be unread in the connection that ended, and must not run after the request was sent
     /// elsewhere.
-    fn answer_unknown_attempt(&mut self, asked: &fate::AskedAttempt) -> call::PeerAnswer {
+    fn answer_unknown_attempt(&mut self, queried: &fate::AskedAttempt) -> call::PeerAnswer {
         self.counters.fates_unknown += 1;
         // The query may have been in transit for as long as the entry node waits for the answer.
-        let age = Duration::from_micros(asked.age_micros) + QUERY_TIMEOUT;
+        let age = Duration::from_micros(queried.age_micros) + QUERY_TIMEOUT;
         let sent = time::NodeTime(self.now.0.saturating_sub(entry::micros(age)));
-        let came = &mut self.memory.record_for(asked.idempotent).received;
-        let standing = came.status(asked.id, sent);
-        came.admit(self.now, asked.id);
-        let verdict = match standing {
+        let received = &mut self.memory.record_for(queried.idempotent).received;
+        let status = received.status(queried.id, sent);
+        received.admit(self.now, queried.id);
+        let verdict = match status {
             duplicates::AttemptStatus::New => {
                 verdict::CallVerdict::NotRun(verdict::RefusalReason::Unreachable)
             }
@@ -345,8 +357,8 @@
             }
         };
         call::PeerAnswer {
-            call: asked.id.call,
-            attempt: asked.id.attempt,
+            call: queried.id.call,
+            attempt: queried.id.attempt,
             verdict,
             answer: None,
             retries_spent: 0,
@@ -358,22 +370,22 @@
 
 /// Counts a query about a call and returns its deadline; none if the call was queried too often.
 fn count_query(open: &mut calls::OpenCall, now: time::NodeTime) -> Option<time::NodeTime> {
-    let quest = open.outcome_query.get_or_insert(calls::OutcomeQuery {
+    let query = open.outcome_query.get_or_insert(calls::OutcomeQuery {
         since: now,
         tries: 0,
     });
-    if quest.tries >= MAX_TRIES {
+    if query.tries >= MAX_TRIES {
         return None;
     }
-    quest.tries += 1;
+    query.tries += 1;
     query_deadline(open)
 }
 
 /// When the query for the outcome of a call times out.
 fn query_deadline(open: &calls::OpenCall) -> Option<time::NodeTime> {
-    let patience = match open.treatment.idempotent {
+    let timeout = match open.treatment.idempotent {
         true => IDEMPOTENT_QUERY_TIMEOUT,
         false => QUERY_TIMEOUT,
     };
-    Some(open.outcome_query?.since + patience)
+    Some(open.outcome_query?.since + timeout)
 }
--- a/crates/anvil_core/src/overload.rs
+++ b/crates/anvil_core/src/overload.rs
@@ -102,7 +102,7 @@
         &mut self,
         service: &name::ServiceName,
         context: &context::CallContext,
-        mark: treatment::RuleMark,
+        rule: treatment::RuleMark,
         cause: RefusalCause,
     ) {
         self.overload.refusals.push(refusal::RefusalRecord {
@@ -114,7 +114,7 @@
             reason: cause.reason,
             limit: cause.limit,
             by: cause.by,
-            mark,
+            mark: rule,
         });
     }
 }
--- a/crates/anvil_core/src/reducer.rs
+++ b/crates/anvil_core/src/reducer.rs
@@ -58,11 +58,11 @@
     config: &config::NodeConfig,
     policy: policy::OverloadPolicy,
 ) -> ledger::QuotaLedger {
-    let way = match policy.tokens_ahead {
+    let mode = match policy.tokens_ahead {
         true => ledger::TokenMode::Ahead,
         false => ledger::TokenMode::PerRequest,
     };
-    let mut quota = ledger::QuotaLedger::new(config.node, way);
+    let mut quota = ledger::QuotaLedger::new(config.node, mode);
     quota.member_up(time::NodeTime::START, config.node, config.gossip_address);
     quota
 }
--- a/crates/anvil_core/src/retrying.rs
+++ b/crates/anvil_core/src/retrying.rs
@@ -115,8 +115,8 @@
         if let calls::CallStage::Out { peer, .. } = open.stage {
             open.tried.push(peer);
         }
-        if let verdict::CallVerdict::MayHaveRun(doubt) = verdict {
-            open.uncertainty = Some(doubt);
+        if let verdict::CallVerdict::MayHaveRun(reason) = verdict {
+            open.uncertainty = Some(reason);
         }
         open.possible_runs += u16::from(may_have_run(verdict));
         open.reached += u16::from(reached_target(verdict));
--- a/crates/anvil_core/src/rollout.rs
+++ b/crates/anvil_core/src/rollout.rs
@@ -52,14 +52,14 @@
 
     /// The status according to a finished count.
     fn counted_status(&self, count: &gossip::CensusCount) -> RolloutStatus {
-        let heard = |node: &ident::NodeId| self.fleet.table().get(*node).map(|m| m.revision);
+        let announced = |node: &ident::NodeId| self.fleet.table().get(*node).map(|m| m.revision);
         let lagging = count.lagging.iter();
         RolloutStatus {
             members: count.holding + count.behind + count.silent,
             in_force: count.holding,
             silent: count.silent,
             lagging: lagging
-                .map(|node| lagging_node(*node, heard(node)))
+                .map(|node| lagging_node(*node, announced(node)))
                 .collect(),
         }
     }
@@ -83,6 +83,6 @@
     }
 }
 
-fn lagging_node(node: ident::NodeId, held: Option<ident::RuleRevision>) -> serde_json::Value {
-    json!({ "node": node.to_string(), "revision": held })
+fn lagging_node(node: ident::NodeId, revision: Option<ident::RuleRevision>) -> serde_json::Value {
+    json!({ "node": node.to_string(), "revision": revision })
 }
--- a/crates/anvil_core/src/runs.rs
+++ b/crates/anvil_core/src/runs.rs
@@ -103,15 +103,15 @@
 pub struct RunTable {
     runs: sorted::SortedTable<u64, Box<TargetRun>>,
     running: u32,
-    minted: u64,
+    last_id: u64,
 }
 
 impl RunTable {
     /// Accepts a call; it is queued until [`RunTable::start`].
     pub fn accept(&mut self, run: Box<TargetRun>) -> event::RunId {
-        self.minted += 1;
-        self.runs.insert(self.minted, run);
-        event::RunId(self.minted)
+        self.last_id += 1;
+        self.runs.insert(self.last_id, run);
+        event::RunId(self.last_id)
     }
 
     /// Marks a queued run as handed to the target.
--- a/crates/anvil_core/src/serving.rs
+++ b/crates/anvil_core/src/serving.rs
@@ -161,7 +161,7 @@
         let target = self.target.as_ref();
         let incarnation = target.and_then(|target| target.announcement.incarnation_id());
         let started = ended.started.unwrap_or(self.now);
-        let note = request_log::RunSummary {
+        let summary = request_log::RunSummary {
             request: ended.label.clone(),
             root: ended.context.request,
             entry: ended.peer,
@@ -176,7 +176,7 @@
             running: self.runs.running(),
             queued: self.runs.queued(),
         };
-        self.log_request(effect::StateChange::RunEnded(Box::new(note)));
+        self.log_request(effect::StateChange::RunEnded(Box::new(summary)));
     }
 
     pub(crate) fn run_expired(&mut self, run: event::RunId) {
