--- a/crates/anvil_node/src/admin.rs
+++ b/crates/anvil_node/src/admin.rs
@@ -5,5 +5,5 @@
 
 pub mod announcement;
 pub mod metrics;
-pub mod question;
+pub mod operator_request;
 pub mod server;
--- a/crates/anvil_node/src/admin/announcement.rs
+++ b/crates/anvil_node/src/admin/announcement.rs
@@ -9,14 +9,14 @@
 use serde::Deserialize;
 
 /// Most slots and connections that a target may announce.
-pub const COUNT_LIMIT: u32 = 100_000;
+pub const MAX_COUNT: u32 = 100_000;
 
 /// Shortest lease, in milliseconds; a shorter one would lapse between two renewals on a busy
 /// machine.
-pub const LEASE_SHORTEST_MS: u64 = 100;
+pub const MIN_LEASE_MS: u64 = 100;
 
 /// Longest lease, in milliseconds; a target that vanished stays known no longer.
-pub const LEASE_LONGEST_MS: u64 = 600_000;
+pub const MAX_LEASE_MS: u64 = 600_000;
 
 /// Why an announcement was refused.
 #[derive(Debug, Display, Error, From)]
@@ -28,17 +28,17 @@
     #[display("address: {_0} can't be connected to")]
     Address(#[error(not(source))] SocketAddr),
     /// A count is out of range.
-    #[display("{field}: {found} is out of range: {low} to {high} is expected")]
+    #[display("{field}: {found} is out of range: {min} to {max} is expected")]
     #[from(skip)]
     Range {
         /// Which field.
         field: &'static str,
         /// What was sent.
         found: u64,
-        /// The least.
-        low: u64,
-        /// The most.
-        high: u64,
+        /// The lowest accepted value.
+        min: u64,
+        /// The highest accepted value.
+        max: u64,
     },
 }
 
@@ -55,20 +55,15 @@
 }
 
 /// Reads an announcement from the JSON in `bytes`.
-pub fn read(bytes: &[u8]) -> Result<event::TargetAnnouncement, AnnouncementError> {
+pub fn parse(bytes: &[u8]) -> Result<event::TargetAnnouncement, AnnouncementError> {
     let body: AnnouncementBody = serde_json::from_slice(bytes)?;
     if body.address.ip().is_unspecified() || body.address.port() == 0 {
         return Err(AnnouncementError::Address(body.address));
     }
-    let most = u64::from(COUNT_LIMIT);
-    check("slots", u64::from(body.slots), 1, most)?;
-    check("connections", u64::from(body.connections), 1, most)?;
-    check(
-        "lease_ms",
-        body.lease_ms,
-        LEASE_SHORTEST_MS,
-        LEASE_LONGEST_MS,
-    )?;
+    let max_count = u64::from(MAX_COUNT);
+    check("slots", u64::from(body.slots), 1, max_count)?;
+    check("connections", u64::from(body.connections), 1, max_count)?;
+    check("lease_ms", body.lease_ms, MIN_LEASE_MS, MAX_LEASE_MS)?;
     Ok(event::TargetAnnouncement {
         service: body.service,
         address: body.address,
@@ -80,14 +75,14 @@
     })
 }
 
-fn check(field: &'static str, found: u64, low: u64, high: u64) -> Result<(), AnnouncementError> {
-    if (low..=high).contains(&found) {
+fn check(field: &'static str, found: u64, min: u64, max: u64) -> Result<(), AnnouncementError> {
+    if (min..=max).contains(&found) {
         return Ok(());
     }
     Err(AnnouncementError::Range {
         field,
         found,
-        low,
-        high,
+        min,
+        max,
     })
 }
--- a/crates/anvil_node/src/admin/question.rs
+++ b/crates/anvil_node/src/admin/operator_request.rs
@@ -9,26 +9,26 @@
 use serde::Deserialize;
 
 /// Names the change, so that an apply whose answer was lost can be asked about again.
-pub const CHANGE: &str = "anvil-change";
+pub const CHANGE_HEADER: &str = "anvil-change";
 
 /// The revision that the operator's change was made from.
-pub const BASE: &str = "anvil-base";
+pub const BASE_HEADER: &str = "anvil-base";
 
 /// Who makes a change; optional, shown in the history.
-pub const AUTHOR: &str = "anvil-author";
+pub const AUTHOR_HEADER: &str = "anvil-author";
 
 /// Longest author kept, in bytes.
-pub const AUTHOR_BYTES: usize = 64;
+pub const MAX_AUTHOR_BYTES: usize = 64;
 
 /// Names the text in faults; the operators' command puts the file's name in its place.
 const TEXT_NAME: &str = "rules";
 
 /// The revision in force at the time of the answer.
-pub const REVISION: &str = "anvil-revision";
+pub const REVISION_HEADER: &str = "anvil-revision";
 
 /// Why an operator's request was refused before the reducer heard it.
 #[derive(Debug, Display, Error, From)]
-pub enum QuestionError {
+pub enum RequestError {
     /// The body is no request to explain.
     #[display("the request to explain is malformed: {_0}")]
     Explain(serde_json::Error),
@@ -38,7 +38,7 @@
     /// The rules are no text.
     #[display("the rules are not UTF-8")]
     #[from(skip)]
-    NotText,
+    NotUtf8,
     /// A header is missing or malformed.
     #[display("the header {header} is missing or malformed: {expected} is expected")]
     #[from(skip)]
@@ -51,7 +51,7 @@
     /// A header line to explain is malformed.
     #[display("the header {name:?} to explain is malformed")]
     #[from(skip)]
-    Line {
+    ExplainHeader {
         /// Its name.
         name: String,
     },
@@ -79,13 +79,13 @@
 }
 
 /// Reads what to explain from the JSON in `bytes`.
-pub fn explain(bytes: &[u8]) -> Result<event::OperatorRequest, QuestionError> {
+pub fn parse_explain(bytes: &[u8]) -> Result<event::OperatorRequest, RequestError> {
     let body: ExplainBody = serde_json::from_slice(bytes)?;
     let mut headers = Vec::with_capacity(body.headers.len());
     for (name, value) in body.headers {
         let parsed: Result<http::HeaderName, _> = name.parse();
         let Ok(parsed) = parsed else {
-            return Err(QuestionError::Line { name });
+            return Err(RequestError::ExplainHeader { name });
         };
         headers.push(call::HeaderLine {
             name: parsed.as_str().to_owned(),
@@ -104,28 +104,28 @@
 
 /// Reads a change of the rules, and checks the rules here: a text of a thousand rules takes 40 ms,
 /// in which the reducer would decide nothing.
-pub fn apply(
+pub fn parse_apply(
     bytes: &[u8],
     change: Option<&str>,
     author: Option<&str>,
     base: Option<&str>,
-) -> Result<event::OperatorRequest, QuestionError> {
-    let text = std::str::from_utf8(bytes).map_err(|_| QuestionError::NotText)?;
+) -> Result<event::OperatorRequest, RequestError> {
+    let text = std::str::from_utf8(bytes).map_err(|_| RequestError::NotUtf8)?;
     let change = change.and_then(|text| u128::from_str_radix(text, 16).ok());
-    let change = change.ok_or(QuestionError::Header {
-        header: CHANGE,
+    let change = change.ok_or(RequestError::Header {
+        header: CHANGE_HEADER,
         expected: "up to 32 hex digits",
     })?;
     let author = author.unwrap_or_default();
-    if author.len() > AUTHOR_BYTES || author.contains(char::is_control) {
-        return Err(QuestionError::Header {
-            header: AUTHOR,
+    if author.len() > MAX_AUTHOR_BYTES || author.contains(char::is_control) {
+        return Err(RequestError::Header {
+            header: AUTHOR_HEADER,
             expected: "at most 64 bytes",
         });
     }
     let base = base.and_then(|text| text.parse().ok());
-    let base = base.ok_or(QuestionError::Header {
-        header: BASE,
+    let base = base.ok_or(RequestError::Header {
+        header: BASE_HEADER,
         expected: "the number of a revision",
     })?;
     Ok(event::OperatorRequest::Apply {
--- a/crates/anvil_node/src/admin/server.rs
+++ b/crates/anvil_node/src/admin/server.rs
@@ -10,7 +10,7 @@
 use rouille::{Request, Response};
 use serde_json::json;
 
-use super::{announcement, metrics, question};
+use super::{announcement, metrics, operator_request};
 use crate::{counters, engine};
 
 /// Threads that answer operators and the target.
@@ -48,7 +48,7 @@
 
 impl AdminEdge {
     fn respond(&self, request: &Request) -> Response {
-        if !self.authorised(request) {
+        if !self.is_authorised(request) {
             self.counters.count(counters::EdgeCause::OperatorRefused);
             return problem(401, "a bearer token is needed");
         }
@@ -62,13 +62,13 @@
             ("POST", "/rules") => self.apply(request),
             ("POST", "/explain") => self.explain(request),
             ("PUT", "/target") => self.announce(request),
-            ("DELETE", "/target") => self.tell(event::NodeEvent::TargetLeaving),
+            ("DELETE", "/target") => self.send_event(event::NodeEvent::TargetLeaving),
             _ => problem(404, "there is nothing here; see docs/OPERATIONS.md"),
         }
     }
 
     /// Compares without stopping at the first difference, so that the time tells nothing.
-    fn authorised(&self, request: &Request) -> bool {
+    fn is_authorised(&self, request: &Request) -> bool {
         let Some(token) = &self.token else {
             return true;
         };
@@ -79,7 +79,7 @@
         sent.len() == wanted.len() && differing == 0
     }
 
-    fn ask(&self, request: event::OperatorRequest) -> Option<engine::OperatorAnswer> {
+    fn request(&self, request: event::OperatorRequest) -> Option<engine::OperatorAnswer> {
         let (reply, answer) = flume::bounded(1);
         let input = engine::EngineInput::Operator { request, reply };
         self.engine.send_timeout(input, ANSWER_WAIT).ok()?;
@@ -95,48 +95,48 @@
     }
 
     fn text(&self, media_type: &'static str, request: event::OperatorRequest) -> Response {
-        match self.ask(request) {
+        match self.request(request) {
             Some(Ok(answer)) => {
                 let revision = answer.revision.to_string();
                 Response::from_data(media_type, answer.text())
-                    .with_unique_header(question::REVISION, revision)
+                    .with_unique_header(operator_request::REVISION_HEADER, revision)
             }
             Some(Err(refused)) => refusal(&refused),
-            None => unanswered(),
+            None => no_answer(),
         }
     }
 
     fn metrics(&self) -> Response {
-        match self.ask(event::OperatorRequest::Counters) {
+        match self.request(event::OperatorRequest::Counters) {
             Some(answer) => {
                 let reducer = answer.map(answer::OperatorAnswer::text).unwrap_or_default();
                 let text = metrics::encode(&self.counters, &reducer);
                 Response::from_data(metrics::MEDIA_TYPE, text)
             }
-            None => unanswered(),
+            None => no_answer(),
         }
     }
 
     fn explain(&self, request: &Request) -> Response {
         let asked = body(request).and_then(|bytes| {
-            let asked = question::explain(&bytes);
+            let asked = operator_request::parse_explain(&bytes);
             asked.map_err(|error| problem(422, &error.to_string()))
         });
-        self.ask_read(asked)
+        self.respond_to_parsed(asked)
     }
 
     fn apply(&self, request: &Request) -> Response {
         let asked = body(request).and_then(|bytes| {
-            let change = request.header(question::CHANGE);
-            let author = request.header(question::AUTHOR);
-            let base = request.header(question::BASE);
-            let asked = question::apply(&bytes, change, author, base);
-            asked.map_err(|error| unreadable(&error))
+            let change = request.header(operator_request::CHANGE_HEADER);
+            let author = request.header(operator_request::AUTHOR_HEADER);
+            let base = request.header(operator_request::BASE_HEADER);
+            let asked = operator_request::parse_apply(&bytes, change, author, base);
+            asked.map_err(|error| invalid_request(&error))
         });
-        self.ask_read(asked)
+        self.respond_to_parsed(asked)
     }
 
-    fn ask_read(&self, asked: Result<event::OperatorRequest, Response>) -> Response {
+    fn respond_to_parsed(&self, asked: Result<event::OperatorRequest, Response>) -> Response {
         match asked {
             Ok(asked) => self.json(asked),
             Err(response) => {
@@ -148,11 +148,11 @@
 
     fn announce(&self, request: &Request) -> Response {
         let read = body(request).and_then(|bytes| {
-            let read = announcement::read(&bytes);
+            let read = announcement::parse(&bytes);
             read.map_err(|error| problem(422, &error.to_string()))
         });
         match read {
-            Ok(announcement) => self.tell(event::NodeEvent::TargetAnnounced(announcement)),
+            Ok(announcement) => self.send_event(event::NodeEvent::TargetAnnounced(announcement)),
             Err(response) => {
                 let cause = counters::EdgeCause::AnnouncementRefused;
                 self.counters.count(cause);
@@ -161,11 +161,11 @@
         }
     }
 
-    fn tell(&self, event: event::NodeEvent) -> Response {
+    fn send_event(&self, event: event::NodeEvent) -> Response {
         let input = engine::EngineInput::Event(event);
         match self.engine.send_timeout(input, ANSWER_WAIT) {
             Ok(()) => Response::empty_204(),
-            Err(_) => unanswered(),
+            Err(_) => no_answer(),
         }
     }
 }
@@ -186,8 +186,8 @@
 }
 
 /// A question that the reducer never heard; wrong rules are told fault by fault.
-fn unreadable(error: &question::QuestionError) -> Response {
-    let question::QuestionError::Rules(faults) = error else {
+fn invalid_request(error: &operator_request::RequestError) -> Response {
+    let operator_request::RequestError::Rules(faults) = error else {
         return problem(422, &error.to_string());
     };
     let body = json!({ "status": 422, "detail": error.to_string(), "faults": faults });
@@ -218,7 +218,7 @@
 }
 
 /// Nothing came back in time, so a change that was asked for may still be made.
-fn unanswered() -> Response {
+fn no_answer() -> Response {
     let body = json!({
         "status": 503,
         "detail": "the node did not answer in time",
--- a/crates/anvil_node/src/caller.rs
+++ b/crates/anvil_node/src/caller.rs
@@ -2,6 +2,7 @@
 
 pub mod exchange;
 pub mod framing;
+pub mod head_timer;
 pub mod header;
 pub mod intake;
 pub mod native;
@@ -9,4 +10,3 @@
 pub mod problem;
 pub mod reply;
 pub mod server;
-pub mod watched;
--- a/crates/anvil_node/src/caller/exchange.rs
+++ b/crates/anvil_node/src/caller/exchange.rs
@@ -97,7 +97,7 @@
             Ok(reply) => {
                 if !is_out_of_turn(&reply) {
                     let outcome = outcome_of(reply.verdict);
-                    edge.counters.call_took(outcome, self.began.elapsed());
+                    edge.counters.observe_call(outcome, self.began.elapsed());
                 }
                 *reply
             }
@@ -145,7 +145,9 @@
         if !self.waiting {
             return;
         }
-        self.edge.counters.count(counters::EdgeCause::CallerGone);
+        self.edge
+            .counters
+            .count(counters::EdgeCause::CallerDisconnected);
         let gone = event::NodeEvent::CallerDisconnected {
             handle: self.handle,
         };
--- a/crates/anvil_node/src/caller/framing.rs
+++ b/crates/anvil_node/src/caller/framing.rs
@@ -14,13 +14,13 @@
 
 /// What stands at the front of a connection's bytes.
 #[derive(Debug)]
-pub enum RequestFrame {
+pub enum ParsedRequest {
     /// The head has not come whole yet.
     Partial,
     /// A request whose length is known.
     Known(Box<KnownRequest>),
     /// Something whose end can't be told here: chunks, an upgrade, another version, or no request.
-    Unclear,
+    Indeterminate,
 }
 
 /// A request whose length is known from its head.
@@ -31,32 +31,32 @@
     /// Length of the body, in bytes.
     pub body_bytes: usize,
     /// Whether it asks for an interim answer before its body, which only its turn can bring.
-    pub expects: bool,
+    pub expects_continue: bool,
     /// Whether it is the last of its connection, so that what stands behind counts as not read.
-    pub closes: bool,
+    pub closes_connection: bool,
     /// The head.
     pub parts: request::Parts,
 }
 
 impl KnownRequest {
     /// Length of the whole request, in bytes.
-    pub fn bytes(&self) -> usize {
+    pub fn total_bytes(&self) -> usize {
         self.head_bytes + self.body_bytes
     }
 }
 
 /// Reads the front of `bytes`; heads above `limit` bytes are unclear.
-pub fn front(bytes: &[u8], limit: usize) -> RequestFrame {
+pub fn parse_front(bytes: &[u8], limit: usize) -> ParsedRequest {
     let mut lines = [httparse::EMPTY_HEADER; HEAD_LINES];
     let mut parsed = httparse::Request::new(&mut lines);
     let head_bytes = match parsed.parse(bytes) {
         Ok(httparse::Status::Complete(length)) if length <= limit => length,
-        Ok(httparse::Status::Partial) if bytes.len() <= limit => return RequestFrame::Partial,
-        _ => return RequestFrame::Unclear,
+        Ok(httparse::Status::Partial) if bytes.len() <= limit => return ParsedRequest::Partial,
+        _ => return ParsedRequest::Indeterminate,
     };
     match known(&parsed, head_bytes) {
-        Some(known) => RequestFrame::Known(Box::new(known)),
-        None => RequestFrame::Unclear,
+        Some(known) => ParsedRequest::Known(Box::new(known)),
+        None => ParsedRequest::Indeterminate,
     }
 }
 
@@ -73,13 +73,13 @@
         return None;
     }
     let body_bytes = body_bytes(&parts)?;
-    let closes = head::says_close(headers);
-    let expects = headers.contains_key(header::EXPECT);
+    let closes_connection = head::closes_connection(headers);
+    let expects_continue = headers.contains_key(header::EXPECT);
     Some(KnownRequest {
         head_bytes,
         body_bytes,
-        expects,
-        closes,
+        expects_continue,
+        closes_connection,
         parts,
     })
 }
@@ -103,6 +103,6 @@
     if lengths.next().is_some() {
         return None;
     }
-    let length = head::body_length(length)?;
+    let length = head::parse_content_length(length)?;
     (length <= codec::MAX_BODY_BYTES).then_some(length)
 }
--- a/crates/anvil_node/src/caller/watched.rs
+++ b/crates/anvil_node/src/caller/head_timer.rs
@@ -23,13 +23,13 @@
 /// Where the reading of heads stands; shared by a connection's socket and its service, which run in
 /// one task, so that plain loads and stores suffice.
 #[derive(Debug)]
-pub struct HeadWatch {
+pub struct HeadTimer {
     opened: Instant,
     /// One of the states above, or when the head began, in microseconds since `opened`.
     state: AtomicU64,
 }
 
-impl HeadWatch {
+impl HeadTimer {
     /// Starts with a connection that has sent nothing.
     pub fn start() -> Arc<Self> {
         Arc::new(Self {
@@ -63,7 +63,7 @@
     }
 
     /// Bytes have come.
-    pub fn note_read(&self) {
+    pub fn record_read(&self) {
         match self.state.load(Ordering::Relaxed) {
             RESTING => self.state.store(self.now(), Ordering::Relaxed),
             // The library reads on while a request is served, to see the connection's end; a head
--- a/crates/anvil_node/src/caller/native.rs
+++ b/crates/anvil_node/src/caller/native.rs
@@ -14,18 +14,18 @@
 use crate::target::parent;
 
 /// Longest idempotency key, in bytes.
-pub const KEY_LIMIT: usize = 256;
+pub const MAX_KEY_BYTES: usize = 256;
 
 /// Speaks the node's own dialect towards callers.
 #[derive(Clone, Debug)]
 pub struct NativeCallers {
     /// Recognises parent tokens.
-    pub mint: parent::ParentMint,
+    pub issuer: parent::TokenIssuer,
 }
 
 impl caller::CallerDialect for NativeCallers {
     fn read_head(&self, head: &request::Parts) -> Result<CallHead, IntakeRefusal> {
-        read_head(head, &self.mint)
+        read_head(head, &self.issuer)
     }
 
     fn refused(&self, refusal: &IntakeRefusal) -> caller::FullResponse {
@@ -60,13 +60,13 @@
 /// Reads the head of a request.
 pub fn read_head(
     head: &request::Parts,
-    mint: &parent::ParentMint,
+    issuer: &parent::TokenIssuer,
 ) -> Result<CallHead, IntakeRefusal> {
     if head.method == Method::CONNECT {
         return Err(IntakeRefusal::Method(head.method.clone()));
     }
     let service = service(head)?;
-    let hints = hints(&head.headers, mint)?;
+    let hints = hints(&head.headers, issuer)?;
     let request = call::CallRequest {
         service,
         method: head.method.as_str().to_owned(),
@@ -111,7 +111,7 @@
 
 fn hints(
     headers: &HeaderMap,
-    mint: &parent::ParentMint,
+    issuer: &parent::TokenIssuer,
 ) -> Result<event::CallerHints, IntakeRefusal> {
     let request = hint(headers, header::REQUEST_ID, "32 hex digits", request_id)?;
     let timeout = hint(headers, header::TIMEOUT, "milliseconds above zero", timeout)?;
@@ -120,7 +120,7 @@
         None => None,
     };
     let parent = match headers.get(header::PARENT) {
-        Some(value) => Some(parent(value, mint)?),
+        Some(value) => Some(parent(value, issuer)?),
         None => None,
     };
     let keys = headers.get_all(header::ACCOUNT_KEY).iter();
@@ -168,7 +168,7 @@
 }
 
 fn key(value: &[u8]) -> Result<Bytes, IntakeRefusal> {
-    if value.is_empty() || value.len() > KEY_LIMIT {
+    if value.is_empty() || value.len() > MAX_KEY_BYTES {
         return Err(IntakeRefusal::HintMalformed {
             header: header::KEY,
             expected: "a key of 1 to 256 bytes",
@@ -179,9 +179,9 @@
 
 fn parent(
     value: &http::HeaderValue,
-    mint: &parent::ParentMint,
+    issuer: &parent::TokenIssuer,
 ) -> Result<event::ParentToken, IntakeRefusal> {
     let text = value.to_str().ok();
-    text.and_then(|text| mint.check(text))
+    text.and_then(|text| issuer.verify(text))
         .ok_or(IntakeRefusal::ParentForged)
 }
--- a/crates/anvil_node/src/caller/pipeline.rs
+++ b/crates/anvil_node/src/caller/pipeline.rs
@@ -21,11 +21,11 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-use super::{exchange, framing, server, watched};
+use super::{exchange, framing, head_timer, server};
 
 /// Most requests of a connection that run ahead of their turn. Callers have been seen to send some
 /// five at once; their answers may have to be held until the caller reads.
-pub const AHEAD_LIMIT: usize = 16;
+pub const MAX_EARLY_REQUESTS: usize = 16;
 
 /// Bytes behind the request in service from which on no more are read: sixteen requests without a
 /// body take a quarter of it.
@@ -53,11 +53,11 @@
 
 /// Whether a connection takes another request behind the one that was answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ConnectionFate {
+pub enum ConnectionDisposition {
     /// It does.
-    Kept,
+    KeepAlive,
     /// It closes behind this answer.
-    Closing,
+    Close,
 }
 
 /// A request that runs ahead of its turn.
@@ -89,13 +89,13 @@
 #[derive(Debug)]
 pub struct RequestPipeline {
     edge: Arc<server::CallerEdge>,
-    watch: Arc<watched::HeadWatch>,
+    watch: Arc<head_timer::HeadTimer>,
     state: Mutex<PipelineState>,
 }
 
 impl RequestPipeline {
     /// The pipeline of a new connection.
-    pub fn new(edge: Arc<server::CallerEdge>, watch: Arc<watched::HeadWatch>) -> Arc<Self> {
+    pub fn new(edge: Arc<server::CallerEdge>, watch: Arc<head_timer::HeadTimer>) -> Arc<Self> {
         let state = PipelineState {
             turn: ConnectionTurn::Reading,
             behind: BytesMut::new(),
@@ -119,14 +119,14 @@
         if matches!(state.turn, ConnectionTurn::Handed { .. }) {
             state.turn = ConnectionTurn::Serving;
             if !state.behind.is_empty() {
-                self.watch.note_read();
+                self.watch.record_read();
             }
             self.look_ahead(&mut state);
         }
     }
 
     /// The request in service is answered, and tells whether another one may follow.
-    pub fn end_serving(&self) -> ConnectionFate {
+    pub fn end_serving(&self) -> ConnectionDisposition {
         self.watch.end_serving();
         let mut state = self.lock();
         state.turned = None;
@@ -138,8 +138,8 @@
             _ => ConnectionTurn::Reading,
         };
         match state.stopping && state.early.is_empty() {
-            true => ConnectionFate::Closing,
-            false => ConnectionFate::Kept,
+            true => ConnectionDisposition::Close,
+            false => ConnectionDisposition::KeepAlive,
         }
     }
 
@@ -158,13 +158,13 @@
     }
 
     /// Whether no request runs ahead, so that the connection may close behind the one in service.
-    pub fn is_settled(&self) -> bool {
+    pub fn has_no_early(&self) -> bool {
         self.lock().early.is_empty()
     }
 
     /// Begins with the whole requests behind the one in service, up to the first that can't.
     fn look_ahead(&self, state: &mut PipelineState) {
-        while state.early.len() < AHEAD_LIMIT && !state.last && !state.stopping {
+        while state.early.len() < MAX_EARLY_REQUESTS && !state.last && !state.stopping {
             let Some(early) = self.next_early(state) else {
                 return;
             };
@@ -174,17 +174,17 @@
 
     fn next_early(&self, state: &mut PipelineState) -> Option<EarlyRequest> {
         let rest = &state.behind[state.looked..];
-        let framing::RequestFrame::Known(known) =
-            framing::front(rest, self.edge.limits.header_bytes)
+        let framing::ParsedRequest::Known(known) =
+            framing::parse_front(rest, self.edge.limits.header_bytes)
         else {
             return None;
         };
-        if known.expects || known.closes || rest.len() < known.bytes() {
+        if known.expects_continue || known.closes_connection || rest.len() < known.total_bytes() {
             return None;
         }
-        let body = Bytes::copy_from_slice(&rest[known.head_bytes..known.bytes()]);
+        let body = Bytes::copy_from_slice(&rest[known.head_bytes..known.total_bytes()]);
         let started = exchange::start_early(&self.edge, &known.parts, body)?;
-        let bytes = known.bytes();
+        let bytes = known.total_bytes();
         let uri = known.parts.uri;
         state.looked += bytes;
         Some(EarlyRequest {
@@ -209,12 +209,12 @@
                 self.turn = ConnectionTurn::Handed { due: early.bytes };
                 self.turned = Some(early);
             } else {
-                match framing::front(&self.behind, limit) {
-                    framing::RequestFrame::Partial => return false,
-                    framing::RequestFrame::Unclear => self.turn = ConnectionTurn::Unclear,
-                    framing::RequestFrame::Known(known) => {
-                        self.last = known.closes;
-                        let due = known.bytes();
+                match framing::parse_front(&self.behind, limit) {
+                    framing::ParsedRequest::Partial => return false,
+                    framing::ParsedRequest::Indeterminate => self.turn = ConnectionTurn::Unclear,
+                    framing::ParsedRequest::Known(known) => {
+                        self.last = known.closes_connection;
+                        let due = known.total_bytes();
                         self.turn = ConnectionTurn::Handed { due };
                     }
                 }
@@ -293,7 +293,7 @@
                 }
                 return Poll::Ready(Ok(()));
             }
-            pipeline.watch.note_read();
+            pipeline.watch.record_read();
             state.behind.extend_from_slice(read.filled());
             if state.turn == ConnectionTurn::Serving {
                 pipeline.look_ahead(&mut state);
--- a/crates/anvil_node/src/caller/problem.rs
+++ b/crates/anvil_node/src/caller/problem.rs
@@ -72,8 +72,8 @@
 }
 
 /// How a doubt shows: nobody can tell whether the request ran.
-pub fn doubt(reason: verdict::UncertaintyReason) -> ProblemKind {
-    let (status, title) = doubt_status(reason);
+pub fn uncertainty(reason: verdict::UncertaintyReason) -> ProblemKind {
+    let (status, title) = uncertainty_status(reason);
     ProblemKind {
         status,
         title,
@@ -116,7 +116,7 @@
     }
 }
 
-fn doubt_status(reason: verdict::UncertaintyReason) -> (StatusCode, &'static str) {
+fn uncertainty_status(reason: verdict::UncertaintyReason) -> (StatusCode, &'static str) {
     use verdict::UncertaintyReason as Reason;
     match reason {
         Reason::ConnectionLost => (broken(), "the connection to the target broke"),
--- a/crates/anvil_node/src/caller/reply.rs
+++ b/crates/anvil_node/src/caller/reply.rs
@@ -20,7 +20,7 @@
         answer,
         request,
         attempts,
-        rule: mark,
+        rule: rule_reference,
         retry_after,
         label: _,
     } = reply;
@@ -28,21 +28,21 @@
         (verdict::CallVerdict::Answered, Some(answer)) => answered(answer),
         (verdict::CallVerdict::Answered, None) => {
             // An answer without its content is an answer cut off; it must not show as success.
-            let kind = problem::doubt(verdict::UncertaintyReason::AnswerCut);
+            let kind = problem::uncertainty(verdict::UncertaintyReason::AnswerCut);
             refused(&kind, retry_after, None)
         }
         (verdict::CallVerdict::NotRun(reason), _) => {
             refused(&problem::refusal(reason), retry_after, None)
         }
         (verdict::CallVerdict::MayHaveRun(reason), _) => {
-            refused(&problem::doubt(reason), retry_after, None)
+            refused(&problem::uncertainty(reason), retry_after, None)
         }
     };
     let headers = response.headers_mut();
     headers.insert(header::REQUEST_ID, request_value(request));
     headers.insert(header::ATTEMPTS, attempts.into());
-    headers.insert(header::REVISION, mark.revision.0.into());
-    let rule = mark
+    headers.insert(header::REVISION, rule_reference.revision.0.into());
+    let rule = rule_reference
         .index
         .map_or_else(|| HeaderValue::from_static("default"), HeaderValue::from);
     headers.insert(header::RULE, rule);
--- a/crates/anvil_node/src/caller/server.rs
+++ b/crates/anvil_node/src/caller/server.rs
@@ -18,7 +18,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{Semaphore, mpsc, watch};
 
-use super::{exchange, intake, pipeline, watched};
+use super::{exchange, head_timer, intake, pipeline};
 use crate::{counters, engine, listen};
 
 /// The answer to a head that did not arrive in time; the HTTP library closes without one.
@@ -73,7 +73,7 @@
     /// Turns true when the process leaves.
     pub closing: watch::Receiver<bool>,
     /// Held by each task that still has something to flush.
-    pub alive: mpsc::Sender<()>,
+    pub flush_guard: mpsc::Sender<()>,
 }
 
 /// Accepts callers until the drain signal.
@@ -81,7 +81,7 @@
     let places = Arc::new(Semaphore::new(edge.limits.connections));
     loop {
         let stream = tokio::select! {
-            stream = listen::next(&listener) => stream,
+            stream = listen::accept(&listener) => stream,
             _ = drain.closing.wait_for(|closing| *closing) => return,
         };
         // Callers beyond the limit are closed at once: each held connection costs memory, and a
@@ -105,7 +105,7 @@
     if stream.set_nodelay(true).is_err() {
         return;
     }
-    let watch = watched::HeadWatch::start();
+    let watch = head_timer::HeadTimer::start();
     let pipeline = pipeline::RequestPipeline::new(edge.clone(), watch.clone());
     let (serving, reading, turns) = (edge.clone(), watch.clone(), pipeline.clone());
     let respond = service::service_fn(move |request| {
@@ -113,7 +113,7 @@
         Box::pin(async move {
             watch.begin_body();
             let mut response = respond(&edge, &pipeline, request).await;
-            if pipeline.end_serving() == pipeline::ConnectionFate::Closing {
+            if pipeline.end_serving() == pipeline::ConnectionDisposition::Close {
                 say_close(&mut response);
             }
             Ok::<_, Infallible>(response)
@@ -126,7 +126,7 @@
     let end = loop {
         let step = future::poll_fn(|context| {
             // Requests that began ahead of their turn are answered before the connection closes.
-            if told && !closing && pipeline.is_settled() {
+            if told && !closing && pipeline.has_no_early() {
                 closing = true;
                 Pin::new(&mut serving).graceful_shutdown();
             }
--- a/crates/anvil_node/src/command.rs
+++ b/crates/anvil_node/src/command.rs
@@ -66,11 +66,11 @@
     /// The environment variable that should name the settings file is not set.
     #[display("the environment variable {_0} is not set")]
     #[from(skip)]
-    Unset(#[error(not(source))] String),
+    VariableNotSet(#[error(not(source))] String),
     /// An argument is not known.
     #[display("the argument {_0:?} is not known")]
     #[from(skip)]
-    Unknown(#[error(not(source))] OsString),
+    UnknownArgument(#[error(not(source))] OsString),
 }
 
 /// Reads the command line.
@@ -86,13 +86,13 @@
     let settings: PathBuf = match variable {
         Some(variable) => std::env::var_os(&variable)
             .map(PathBuf::from)
-            .ok_or(CommandError::Unset(variable))?,
+            .ok_or(CommandError::VariableNotSet(variable))?,
         None => arguments.value_from_str("--settings")?,
     };
     let ready = arguments.opt_value_from_str("--ready-file")?;
     let level = arguments.opt_value_from_str("--log-level")?;
     if let Some(unknown) = arguments.finish().into_iter().next() {
-        return Err(CommandError::Unknown(unknown));
+        return Err(CommandError::UnknownArgument(unknown));
     }
     if check {
         return Ok(NodeCommand::Check { settings });
--- a/crates/anvil_node/src/control.rs
+++ b/crates/anvil_node/src/control.rs
@@ -46,7 +46,7 @@
 /// Accepts calls until the process ends: a stopping node still says that it is not ready.
 pub async fn serve(listener: TcpListener, edge: Arc<ControlEdge>) {
     loop {
-        let stream = listen::next(&listener).await;
+        let stream = listen::accept(&listener).await;
         tokio::spawn(connection(stream, edge.clone()));
     }
 }
@@ -107,8 +107,8 @@
         };
         // The acknowledgement binds: from it on, the target gets nothing that it said it won't
         // take. So it is given only once the reducer has taken the event in.
-        let (taken, done) = tokio::sync::oneshot::channel();
-        let input = engine::EngineInput::Told { event, taken };
+        let (accepted, done) = tokio::sync::oneshot::channel();
+        let input = engine::EngineInput::Notification { event, accepted };
         if self.engine.send_async(input).await.is_err() || done.await.is_err() {
             return Err(control::ControlRefusal::Leaving);
         }
--- a/crates/anvil_node/src/counters.rs
+++ b/crates/anvil_node/src/counters.rs
@@ -51,7 +51,7 @@
     CallerMethodRefused,
     /// A caller closed its connection before the reply.
     #[display("caller_gone")]
-    CallerGone,
+    CallerDisconnected,
     /// A connection to the target was opened.
     #[display("target_connected")]
     TargetConnected,
@@ -72,7 +72,7 @@
     TargetBroken,
     /// The target broke off in the middle of its answer.
     #[display("target_answer_cut")]
-    TargetAnswerCut,
+    TargetAnswerTruncated,
     /// The target's answer had neither a length nor chunks, so its end can't be proved.
     #[display("target_answer_unframed")]
     TargetAnswerUnframed,
@@ -114,10 +114,10 @@
     PeerFrameTruncated,
     /// A connection to another node broke.
     #[display("peer_lost")]
-    PeerLost,
+    PeerConnectionLost,
     /// A connection to another node was given up, since answers were due and nothing came.
     #[display("peer_silent")]
-    PeerSilent,
+    PeerUnresponsive,
     /// A frame found the queue to its peer full and was handed back unsent.
     #[display("peer_queue_full")]
     PeerQueueFull,
@@ -235,12 +235,12 @@
     }
 
     /// Notes the time from a whole request to its reply.
-    pub fn call_took(&self, outcome: LatencyOutcome, span: Duration) {
+    pub fn observe_call(&self, outcome: LatencyOutcome, span: Duration) {
         observe(&self.calls, outcome, span);
     }
 
     /// Notes the time of a run at the local target.
-    pub fn run_took(&self, outcome: LatencyOutcome, span: Duration) {
+    pub fn observe_run(&self, outcome: LatencyOutcome, span: Duration) {
         observe(&self.runs, outcome, span);
     }
 
--- a/crates/anvil_node/src/dialect.rs
+++ b/crates/anvil_node/src/dialect.rs
@@ -35,29 +35,33 @@
 
 impl NodeDialects {
     /// The dialects that the settings call for.
-    pub fn of(
+    pub fn from_settings(
         settings: &settings::NodeSettings,
-        mint: &parent::ParentMint,
+        issuer: &parent::TokenIssuer,
         counters: &counters::EdgeCounters,
     ) -> Self {
         match &settings.hosted {
-            Some(hosted) => Self::of_platform(settings, hosted, counters),
-            None => Self::native(settings, mint),
+            Some(hosted) => Self::platform(settings, hosted, counters),
+            None => Self::native(settings, issuer),
         }
     }
 
-    fn native(settings: &settings::NodeSettings, mint: &parent::ParentMint) -> Self {
+    fn native(settings: &settings::NodeSettings, issuer: &parent::TokenIssuer) -> Self {
         let addresses = &settings.platform;
         let store = (!addresses.is_empty()).then(|| http::HttpStore::new(addresses.clone()));
         Self {
-            callers: Arc::new(native_callers::NativeCallers { mint: mint.clone() }),
-            targets: Arc::new(native_targets::NativeTargets { mint: mint.clone() }),
+            callers: Arc::new(native_callers::NativeCallers {
+                issuer: issuer.clone(),
+            }),
+            targets: Arc::new(native_targets::NativeTargets {
+                issuer: issuer.clone(),
+            }),
             control: None,
             store: store.map(|store| Arc::new(store) as Arc<dyn StoreDialect>),
         }
     }
 
-    fn of_platform(
+    fn platform(
         settings: &settings::NodeSettings,
         hosted: &hosted::HostedSettings,
         counters: &counters::EdgeCounters,
@@ -82,7 +86,7 @@
 }
 
 /// Sets the reducer up for what the settings say of the store and of the platform.
-pub fn arrange(
+pub fn configure(
     reducer: reducer::NodeReducer,
     settings: &settings::NodeSettings,
 ) -> reducer::NodeReducer {
--- a/crates/anvil_node/src/engine.rs
+++ b/crates/anvil_node/src/engine.rs
@@ -15,7 +15,7 @@
 use crate::{clock, datagram, peer, store, target};
 
 /// Events that may wait for the reducer; a caller's request waits at its edge beyond that.
-pub const QUEUE_LIMIT: usize = 16_384;
+pub const MAX_QUEUED_INPUTS: usize = 16_384;
 
 /// Steps after which the task lets others run.
 const STEPS_IN_A_ROW: u32 = 16;
@@ -44,12 +44,13 @@
         /// Takes the answer.
         reply: flume::Sender<OperatorAnswer>,
     },
-    /// Something told by the target or the platform, to be acknowledged once it is taken in.
-    Told {
+    /// A notification from the target or the platform, acknowledged once the reducer has
+    /// processed it.
+    Notification {
         /// What.
         event: event::NodeEvent,
-        /// Told once the reducer has taken it in.
-        taken: oneshot::Sender<()>,
+        /// Signalled once the reducer has processed the event.
+        accepted: oneshot::Sender<()>,
     },
     /// Another node opened a connection and proved its identity.
     LinkOpened(peer::link::PeerLink),
@@ -81,7 +82,7 @@
     /// Operators that wait.
     pub operators: sorted::SortedTable<event::OperatorHandle, flume::Sender<OperatorAnswer>>,
     /// Operators asked so far.
-    pub asked: u64,
+    pub operator_requests: u64,
     /// Events that effects caused on the spot, for the steps after the present one.
     pub followups: VecDeque<event::NodeEvent>,
 }
@@ -104,8 +105,10 @@
             let Ok(input) = input else {
                 return;
             };
-            let (input, taken) = match input {
-                EngineInput::Told { event, taken } => (EngineInput::Event(event), Some(taken)),
+            let (input, accepted) = match input {
+                EngineInput::Notification { event, accepted } => {
+                    (EngineInput::Event(event), Some(accepted))
+                }
                 input => (input, None),
             };
             for event in self.admit(input) {
@@ -113,9 +116,9 @@
                     return;
                 }
             }
-            if let Some(taken) = taken {
+            if let Some(accepted) = accepted {
                 // Whoever told it may have gone meanwhile.
-                let _ = taken.send(());
+                let _ = accepted.send(());
             }
             steps = steps.wrapping_add(1);
             if steps.is_multiple_of(STEPS_IN_A_ROW) {
@@ -155,7 +158,7 @@
     /// Notes the way back of an input and turns it into events.
     fn admit(&mut self, input: EngineInput) -> Vec<event::NodeEvent> {
         match input {
-            EngineInput::Event(event) | EngineInput::Told { event, .. } => {
+            EngineInput::Event(event) | EngineInput::Notification { event, .. } => {
                 self.note(&event);
                 vec![event]
             }
@@ -168,22 +171,22 @@
                 vec![arrival]
             }
             EngineInput::Operator { request, reply } => {
-                self.asked += 1;
-                let handle = event::OperatorHandle(self.asked);
+                self.operator_requests += 1;
+                let handle = event::OperatorHandle(self.operator_requests);
                 self.operators.insert(handle, reply);
                 vec![event::NodeEvent::OperatorRequestArrived { handle, request }]
             }
             EngineInput::LinkOpened(link) => {
-                self.peers.adopt(link);
+                self.peers.insert(link);
                 Vec::new()
             }
-            EngineInput::LinkClosed(closed) => self.peers.closed(closed),
+            EngineInput::LinkClosed(closed) => self.peers.on_closed(closed),
         }
     }
 
     fn note(&mut self, event: &event::NodeEvent) {
         match event {
-            event::NodeEvent::RunEnded { run, .. } => self.runs.forget(*run),
+            event::NodeEvent::RunEnded { run, .. } => self.runs.remove(*run),
             event::NodeEvent::CallerDisconnected { handle } => {
                 self.callers.remove(*handle);
             }
@@ -224,9 +227,9 @@
             effect::NodeEffect::RunTarget(run) => self.runs.start(*run),
             effect::NodeEffect::CancelRun(run) => self.runs.cancel(run),
             effect::NodeEffect::AnswerOperator { handle, answer } => self.answer(handle, answer),
-            effect::NodeEffect::SendStoreRequest { id, request: ask } => {
-                let unasked = self.store.ask(id, ask);
-                self.followups.extend(unasked);
+            effect::NodeEffect::SendStoreRequest { id, request } => {
+                let refused = self.store.submit(id, request);
+                self.followups.extend(refused);
             }
             effect::NodeEffect::Readiness(ready) => {
                 self.ready.store(ready, Ordering::Relaxed);
--- a/crates/anvil_node/src/head.rs
+++ b/crates/anvil_node/src/head.rs
@@ -14,7 +14,7 @@
 }
 
 /// Whether the head says that its connection ends with this message.
-pub fn says_close(headers: &HeaderMap) -> bool {
+pub fn closes_connection(headers: &HeaderMap) -> bool {
     headers.get_all(header::CONNECTION).iter().any(|value| {
         let value = value.to_str().unwrap_or_default();
         let mut words = value.split(',');
@@ -24,7 +24,7 @@
 
 /// A stated length of a body; none where it is no plain number, which two readers could read in two
 /// ways.
-pub fn body_length(stated: &HeaderValue) -> Option<usize> {
+pub fn parse_content_length(stated: &HeaderValue) -> Option<usize> {
     let digits = stated.as_bytes().iter().all(u8::is_ascii_digit);
     let text = stated.to_str().ok().filter(|_| digits)?;
     text.parse().ok()
--- a/crates/anvil_node/src/lib.rs
+++ b/crates/anvil_node/src/lib.rs
@@ -20,6 +20,6 @@
 pub mod peer;
 pub mod reload;
 pub mod settings;
-pub mod stop;
+pub mod signals;
 pub mod store;
 pub mod target;
--- a/crates/anvil_node/src/listen.rs
+++ b/crates/anvil_node/src/listen.rs
@@ -11,7 +11,7 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// The next connection; may be given up at any moment without losing one.
-pub async fn next(listener: &TcpListener) -> TcpStream {
+pub async fn accept(listener: &TcpListener) -> TcpStream {
     loop {
         if let Ok((stream, _)) = listener.accept().await {
             return stream;
--- a/crates/anvil_node/src/main.rs
+++ b/crates/anvil_node/src/main.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::process::ExitCode;
 
-use anvil_node::{command, logs, node, settings, stop};
+use anvil_node::{command, logs, node, settings, signals};
 use eyre::WrapErr;
 
 /// The command line or the settings are refused.
@@ -74,7 +74,7 @@
     });
     log::info!("{facts}");
     let running = node::start(settings)?;
-    stop::watch(running.engine().clone(), file.to_owned())?;
+    signals::watch(running.engine().clone(), file.to_owned())?;
     let bound = serde_json::to_string(running.bound()).wrap_err("addresses as JSON")?;
     if let Some(file) = ready {
         write_whole(file, &bound)?;
--- a/crates/anvil_node/src/node.rs
+++ b/crates/anvil_node/src/node.rs
@@ -110,7 +110,7 @@
     let sockets = NodeSockets::bind(settings)?;
     let node = ident::NodeId(random_u64());
     let counters = counters::EdgeCounters::new().wrap_err("counters")?;
-    let (engine, inputs) = flume::bounded(engine::QUEUE_LIMIT);
+    let (engine, inputs) = flume::bounded(engine::MAX_QUEUED_INPUTS);
     let edge = admin::server::AdminEdge {
         engine: engine.clone(),
         counters: counters.clone(),
@@ -125,14 +125,14 @@
         .build()
         .wrap_err("the runtime could not be started")?;
     let (closing, closed) = watch::channel(false);
-    let (alive, flushed) = mpsc::channel(1);
+    let (flush_guard, flushed) = mpsc::channel(1);
     let drain = caller::server::DrainSignal {
         closing: closed,
-        alive,
+        flush_guard,
     };
-    let mint = parent::ParentMint::new(random_key());
+    let issuer = parent::TokenIssuer::new(random_key());
     let parts = NodeParts {
-        dialects: dialect::NodeDialects::of(settings, &mint, &counters),
+        dialects: dialect::NodeDialects::from_settings(settings, &issuer, &counters),
         settings,
         bound,
         engine: engine.clone(),
@@ -246,12 +246,12 @@
             ready,
             callers: sorted::SortedTable::default(),
             operators: sorted::SortedTable::default(),
-            asked: 0,
+            operator_requests: 0,
             followups: VecDeque::new(),
         };
         let policy = self.settings.policy;
         let reducer = reducer::NodeReducer::with_policy(self.config(), random_u64(), policy);
-        let reducer = dialect::arrange(reducer, self.settings);
+        let reducer = dialect::configure(reducer, self.settings);
         Ok(self.runtime.spawn(engine.run(reducer, inputs)))
     }
 
@@ -309,8 +309,8 @@
             ring: self.settings.peer_keys.ring().clone(),
             engine: self.engine.clone(),
             counters: self.counters.clone(),
-            links: Arc::default(),
-            heard: Arc::default(),
+            link_ids: Arc::default(),
+            received_frames: Arc::default(),
             drain: self.drain.clone(),
         };
         let limit = usize::try_from(self.settings.limits.peer_connections)?;
--- a/crates/anvil_node/src/peer.rs
+++ b/crates/anvil_node/src/peer.rs
@@ -3,6 +3,6 @@
 pub mod accept;
 pub mod handshake;
 pub mod link;
-pub mod pulse;
+pub mod liveness;
 pub mod stream;
 pub mod table;
--- a/crates/anvil_node/src/peer/accept.rs
+++ b/crates/anvil_node/src/peer/accept.rs
@@ -14,7 +14,7 @@
     let mut drain = context.drain.clone();
     loop {
         let stream = tokio::select! {
-            stream = listen::next(&listener) => stream,
+            stream = listen::accept(&listener) => stream,
             _ = drain.closing.wait_for(|closing| *closing) => return,
         };
         let Ok(place) = places.clone().try_acquire_owned() else {
@@ -34,7 +34,7 @@
         return;
     }
     let shaking = handshake::respond(&mut stream, &context);
-    let shaken = tokio::time::timeout(link::OPEN_LIMIT, shaking).await;
+    let shaken = tokio::time::timeout(link::OPEN_TIMEOUT, shaking).await;
     let Ok(Ok(sealed)) = shaken else {
         context
             .counters
@@ -42,7 +42,7 @@
         return;
     };
     context.counters.count(counters::EdgeCause::PeerAccepted);
-    let (opened, parts) = link::pair(sealed.peer.node, context.next_link());
+    let (opened, parts) = link::new_link(sealed.peer.node, context.next_link_id());
     let input = engine::EngineInput::LinkOpened(opened);
     if context.engine.send_async(input).await.is_err() {
         return;
--- a/crates/anvil_node/src/peer/link.rs
+++ b/crates/anvil_node/src/peer/link.rs
@@ -14,21 +14,21 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::sync::mpsc;
 
-use super::{handshake, pulse, stream};
+use super::{handshake, liveness, stream};
 use crate::{caller, counters, engine};
 
 /// Frames that may wait for one connection.
-pub const QUEUE_LIMIT: usize = 4_096;
+pub const MAX_QUEUED_FRAMES: usize = 4_096;
 
 /// Longest wait for a connection and its handshake; nodes are a few milliseconds apart, and a call
 /// whose node can't be reached goes elsewhere at no cost.
-pub const OPEN_LIMIT: Duration = Duration::from_millis(500);
+pub const OPEN_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Longest wait for the other side to read; one that takes nothing for so long answers nothing.
-const WRITE_LIMIT: Duration = Duration::from_millis(2_000);
+const WRITE_TIMEOUT: Duration = Duration::from_millis(2_000);
 
 /// Longest wait for what the other side still sends after this side has ended.
-const READ_REST_LIMIT: Duration = Duration::from_millis(1_000);
+const READ_REST_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// Bytes gathered before they are written; many small frames share one system call.
 const BATCH_BYTES: usize = 64 * 1024;
@@ -47,20 +47,20 @@
     /// Frames to send.
     pub frames: mpsc::Sender<frame::PeerFrame>,
     /// When anything last came on it.
-    pub pulse: Arc<pulse::LinkPulse>,
+    pub liveness: Arc<liveness::LinkLiveness>,
     /// The place of the last frame that had come when another connection to the node fell silent.
-    doubted_at: Option<u64>,
+    suspected_at: Option<u64>,
 }
 
 impl PeerLink {
     /// Notes that another connection to the same node fell silent.
-    pub fn doubt(&mut self) {
-        self.doubted_at = Some(self.pulse.last_heard());
+    pub fn mark_suspect(&mut self) {
+        self.suspected_at = Some(self.liveness.last_received());
     }
 
     /// Whether another connection fell silent and nothing has come on this one since.
-    pub fn is_doubted(&self) -> bool {
-        self.doubted_at == Some(self.pulse.last_heard())
+    pub fn is_suspect(&self) -> bool {
+        self.suspected_at == Some(self.liveness.last_received())
     }
 }
 
@@ -70,30 +70,30 @@
     /// Which connection.
     pub link: LinkId,
     frames: mpsc::Receiver<frame::PeerFrame>,
-    pulse: Arc<pulse::LinkPulse>,
+    liveness: Arc<liveness::LinkLiveness>,
 }
 
 impl LinkParts {
     /// Frames that wait to be sent.
-    pub fn waiting(&self) -> usize {
+    pub fn queued_frames(&self) -> usize {
         self.frames.len()
     }
 }
 
 /// Both sides of a new connection to `peer`.
-pub fn pair(peer: ident::NodeId, link: LinkId) -> (PeerLink, LinkParts) {
-    let (sender, receiver) = mpsc::channel(QUEUE_LIMIT);
-    let pulse = Arc::new(pulse::LinkPulse::default());
+pub fn new_link(peer: ident::NodeId, link: LinkId) -> (PeerLink, LinkParts) {
+    let (sender, receiver) = mpsc::channel(MAX_QUEUED_FRAMES);
+    let liveness = Arc::new(liveness::LinkLiveness::default());
     let opened = PeerLink {
         peer,
         link,
-        pulse: pulse.clone(),
+        liveness: liveness.clone(),
         frames: sender,
-        doubted_at: None,
+        suspected_at: None,
     };
     let parts = LinkParts {
         link,
-        pulse,
+        liveness,
         frames: receiver,
     };
     (opened, parts)
@@ -111,9 +111,9 @@
     /// Whether frames had crossed it.
     pub used: bool,
     /// Whether calls had crossed it whose answers have not come, so that their fate is unknown now.
-    pub owed: bool,
+    pub awaits_answers: bool,
     /// Whether it gave no sign of life, and may not be the only one to the node that does so.
-    pub silent: bool,
+    pub unresponsive: bool,
 }
 
 /// What every connection works with.
@@ -128,17 +128,17 @@
     /// Counts each cause.
     pub counters: counters::EdgeCounters,
     /// Makes links unique.
-    pub links: Arc<AtomicU64>,
+    pub link_ids: Arc<AtomicU64>,
     /// Counts the frames that came on all links.
-    pub heard: Arc<AtomicU64>,
+    pub received_frames: Arc<AtomicU64>,
     /// Lets connections flush at the end.
     pub drain: caller::server::DrainSignal,
 }
 
 impl LinkContext {
     /// A number for a new connection.
-    pub fn next_link(&self) -> LinkId {
-        LinkId(self.links.fetch_add(1, Ordering::Relaxed) + 1)
+    pub fn next_link_id(&self) -> LinkId {
+        LinkId(self.link_ids.fetch_add(1, Ordering::Relaxed) + 1)
     }
 }
 
@@ -149,7 +149,7 @@
     address: SocketAddr,
     parts: LinkParts,
 ) {
-    let opening = tokio::time::timeout(OPEN_LIMIT, connect(&context, peer, address));
+    let opening = tokio::time::timeout(OPEN_TIMEOUT, connect(&context, peer, address));
     match opening.await {
         Ok(Ok(opened)) => {
             context.counters.count(counters::EdgeCause::PeerConnected);
@@ -167,8 +167,8 @@
                 link: parts.link,
                 unsent: drain(parts.frames).await,
                 used: false,
-                owed: false,
-                silent: false,
+                awaits_answers: false,
+                unresponsive: false,
             };
             report(&context, peer, end).await;
         }
@@ -182,20 +182,22 @@
     let open = counters::GaugeGuard::hold(context.counters.peer_connections());
     let (reader, writer) = stream.into_split();
     let reader = stream::FrameReader::new(reader, sealed.opener);
-    let pulse = parts.pulse.clone();
-    let reading = tokio::spawn(read(context.clone(), peer, reader, pulse.clone()));
+    let liveness = parts.liveness.clone();
+    let reading = tokio::spawn(read(context.clone(), peer, reader, liveness.clone()));
     let writer = FrameWriter {
         peer,
-        pulse,
+        liveness,
         writer,
-        packer: compression::FrameCompressor::default(),
+        compressor: compression::FrameCompressor::default(),
         sealer: sealed.sealer,
         batch: Vec::new(),
         used: false,
     };
     let end = exchange(&context, writer, parts, reading).await;
     drop(open);
-    context.counters.count(counters::EdgeCause::PeerLost);
+    context
+        .counters
+        .count(counters::EdgeCause::PeerConnectionLost);
     report(&context, peer, end).await;
 }
 
@@ -211,9 +213,9 @@
 /// The writing side of a connection.
 struct FrameWriter {
     peer: ident::NodeId,
-    pulse: Arc<pulse::LinkPulse>,
+    liveness: Arc<liveness::LinkLiveness>,
     writer: OwnedWriteHalf,
-    packer: compression::FrameCompressor,
+    compressor: compression::FrameCompressor,
     sealer: sealing::FrameSealer,
     batch: Vec<u8>,
     /// Whether a byte of any frame was handed to the socket.
@@ -237,9 +239,9 @@
     /// Whether a byte of any other was.
     used: bool,
     /// Whether answers to calls were due.
-    owed: bool,
+    awaits_answers: bool,
     /// Whether it gave no sign of life.
-    silent: bool,
+    unresponsive: bool,
 }
 
 async fn connect(
@@ -266,7 +268,7 @@
     let LinkParts {
         link,
         mut frames,
-        pulse,
+        liveness,
     } = parts;
     let end = tokio::select! {
         end = writer.write_until_end(context, &mut frames) => Ok(end),
@@ -275,7 +277,7 @@
     // A connection that broke can't be shut down once more.
     let _ = writer.writer.shutdown().await;
     note_end(&writer, link, &end);
-    let silent = matches!(end, Ok(WriteEnd::Dead));
+    let unresponsive = matches!(end, Ok(WriteEnd::Dead));
     let received = match end {
         Err(received) => received.unwrap_or(true),
         Ok(WriteEnd::Flushed) => read_rest(reading).await,
@@ -289,8 +291,8 @@
         link,
         unsent: drain(frames).await,
         used: writer.used || received,
-        owed: pulse.awaits(),
-        silent,
+        awaits_answers: liveness.awaits_answers(),
+        unresponsive,
     }
 }
 
@@ -301,7 +303,7 @@
         Ok(WriteEnd::Flushed) => "ended or broken on this side",
         Ok(WriteEnd::Dead) => "no sign of life",
     };
-    let (peer, owed) = (writer.peer, writer.pulse.awaits());
+    let (peer, owed) = (writer.peer, writer.liveness.awaits_answers());
     let facts = serde_json::json!({
         "event": "link-ended",
         "peer": peer.to_string(),
@@ -316,9 +318,9 @@
 ///
 /// Answers may stand unread when the writing side ends. Reported as lost, their callers would be
 /// told "may have run" of requests that were answered whole. The other side ends its side too once
-/// it sees this one's end; one that hangs is given up after [`READ_REST_LIMIT`].
+/// it sees this one's end; one that hangs is given up after [`READ_REST_TIMEOUT`].
 async fn read_rest(mut reading: tokio::task::JoinHandle<bool>) -> bool {
-    let rest = tokio::time::timeout(READ_REST_LIMIT, &mut reading).await;
+    let rest = tokio::time::timeout(READ_REST_TIMEOUT, &mut reading).await;
     if rest.is_err() {
         reading.abort();
     }
@@ -332,10 +334,10 @@
         context: &LinkContext,
         frames: &mut mpsc::Receiver<frame::PeerFrame>,
     ) -> WriteEnd {
-        let pulse = self.pulse.clone();
-        let mut looks = tokio::time::interval(pulse::LOOK_INTERVAL);
-        looks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-        let mut silent = 0;
+        let liveness = self.liveness.clone();
+        let mut checks = tokio::time::interval(liveness::CHECK_INTERVAL);
+        checks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+        let mut silent_checks = 0;
         loop {
             let first = tokio::select! {
                 biased;
@@ -343,12 +345,12 @@
                     Some(frame) => frame,
                     None => return WriteEnd::Flushed,
                 },
-                () = pulse.wait_asked() => frame::PeerFrame::Pong,
-                _ = looks.tick(), if pulse.awaits() => match pulse.look(&mut silent) {
-                    pulse::PulseLook::Fine => continue,
-                    pulse::PulseLook::Probe => frame::PeerFrame::Ping,
-                    pulse::PulseLook::Silent => {
-                        context.counters.count(counters::EdgeCause::PeerSilent);
+                () = liveness.wait_for_probe() => frame::PeerFrame::Pong,
+                _ = checks.tick(), if liveness.awaits_answers() => match liveness.check(&mut silent_checks) {
+                    liveness::LivenessAction::None => continue,
+                    liveness::LivenessAction::Probe => frame::PeerFrame::Ping,
+                    liveness::LivenessAction::Close => {
+                        context.counters.count(counters::EdgeCause::PeerUnresponsive);
                         return WriteEnd::Dead;
                     }
                 },
@@ -357,7 +359,7 @@
             // From the first byte on, nobody can tell what the other side saw.
             self.used = true;
             let writing = self.writer.write_all(&self.batch);
-            let written = tokio::time::timeout(WRITE_LIMIT, writing).await;
+            let written = tokio::time::timeout(WRITE_TIMEOUT, writing).await;
             match written {
                 Ok(Ok(())) => {}
                 // Answers may stand unread in the socket of a connection that broke.
@@ -388,7 +390,7 @@
 
     fn append(&mut self, context: &LinkContext, frame: &frame::PeerFrame) {
         for _ in 0..answers_due(frame) {
-            self.pulse.call_sent();
+            self.liveness.call_sent();
         }
         let Ok(encoded) = codec::encode_frame(frame) else {
             // The caller edge bounds bodies and heads below a frame's limit.
@@ -397,7 +399,7 @@
                 .count(counters::EdgeCause::PeerFrameOversized);
             return;
         };
-        let mut bytes = self.packer.compress(encoded);
+        let mut bytes = self.compressor.compress(encoded);
         self.sealer.seal(&mut bytes);
         if self.batch.is_empty() {
             self.batch = bytes;
@@ -425,7 +427,7 @@
     context: LinkContext,
     peer: ident::NodeId,
     mut reader: stream::FrameReader<OwnedReadHalf>,
-    pulse: Arc<pulse::LinkPulse>,
+    liveness: Arc<liveness::LinkLiveness>,
 ) -> bool {
     let mut used = false;
     loop {
@@ -439,15 +441,16 @@
             }
         };
         used = true;
-        pulse.frame_heard(matches!(frame, frame::PeerFrame::Answer(_)));
+        liveness.frame_received(matches!(frame, frame::PeerFrame::Answer(_)));
         match frame {
             frame::PeerFrame::Ping => {
-                pulse.asked();
+                liveness.probe_received();
                 continue;
             }
             frame::PeerFrame::Pong => continue,
             // Signs of life don't count, or each probe would move the traffic to its connection.
-            _ => pulse.stamp(context.heard.fetch_add(1, Ordering::Relaxed) + 1),
+            _ => liveness
+                .record_received(context.received_frames.fetch_add(1, Ordering::Relaxed) + 1),
         }
         let arrived = event::NodeEvent::FrameArrived { peer, frame };
         // A full engine slows this reader, and so the sender, down. An engine that has left is no
@@ -473,16 +476,16 @@
         link,
         unsent,
         used,
-        owed,
-        silent,
+        awaits_answers,
+        unresponsive,
     } = end;
     let closed = engine::EngineInput::LinkClosed(ClosedLink {
         peer,
         link,
         unsent,
         used,
-        owed,
-        silent,
+        awaits_answers,
+        unresponsive,
     });
     // The engine is gone only when the process leaves.
     let _ = context.engine.send_async(closed).await;
--- a/crates/anvil_node/src/peer/pulse.rs
+++ b/crates/anvil_node/src/peer/liveness.rs
@@ -15,108 +15,108 @@
 /// The farthest node is some milliseconds away and a busy one takes some tens more, so a node that
 /// lives answers long before the next look. Calls that wait on a silent connection use up their
 /// callers' objectives, the shortest of which are some hundred milliseconds, so it is no longer.
-pub const LOOK_INTERVAL: Duration = Duration::from_millis(250);
+pub const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Looks without a sign of life after which the connection is given up; the first of them probes.
-const SILENT_LOOKS: u32 = 3;
+const MAX_SILENT_CHECKS: u32 = 3;
 
 /// Looks after the last call by which it has been answered or given up: fifteen seconds, more than
 /// callers wait.
-const LOOKS_PER_CALL: u32 = 60;
+const MAX_CHECKS_PER_CALL: u32 = 60;
 
 /// What the reading and the writing side of a connection tell each other.
 #[derive(Debug, Default)]
-pub struct LinkPulse {
+pub struct LinkLiveness {
     /// Calls sent less answers received; they may be answered on another connection of the same
     /// two nodes, so the sum is a reason to look and no more.
-    awaited: AtomicU32,
+    unanswered_calls: AtomicU32,
     /// Looks since the last call was sent.
-    quiet_looks: AtomicU32,
+    checks_since_call: AtomicU32,
     /// Whether anything came since the last look.
-    heard: AtomicBool,
+    received: AtomicBool,
     /// The place of the last frame among all frames that came to this node.
-    last_heard: AtomicU64,
+    last_received: AtomicU64,
     /// The other end asked for a sign of life.
-    asked: Notify,
+    probe: Notify,
 }
 
 /// What a look at the connection calls for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PulseLook {
+pub enum LivenessAction {
     /// Nothing.
-    Fine,
+    None,
     /// Ask for a sign of life.
     Probe,
     /// Give the connection up.
-    Silent,
+    Close,
 }
 
-impl LinkPulse {
+impl LinkLiveness {
     /// Notes that a call was sent.
     pub fn call_sent(&self) {
-        self.quiet_looks.store(0, Ordering::Relaxed);
-        if self.awaited.fetch_add(1, Ordering::Relaxed) == 0 {
+        self.checks_since_call.store(0, Ordering::Relaxed);
+        if self.unanswered_calls.fetch_add(1, Ordering::Relaxed) == 0 {
             // Silence before the first call says nothing.
-            self.heard.store(true, Ordering::Relaxed);
+            self.received.store(true, Ordering::Relaxed);
         }
     }
 
     /// Notes that a frame came.
-    pub fn frame_heard(&self, is_answer: bool) {
-        self.heard.store(true, Ordering::Relaxed);
+    pub fn frame_received(&self, is_answer: bool) {
+        self.received.store(true, Ordering::Relaxed);
         if is_answer {
-            let fewer = |awaited: u32| awaited.checked_sub(1);
+            let fewer = |calls: u32| calls.checked_sub(1);
             // An answer to a call on another connection finds nothing to take back.
             let _ = self
-                .awaited
+                .unanswered_calls
                 .fetch_update(Ordering::Relaxed, Ordering::Relaxed, fewer);
         }
     }
 
     /// Notes that the other end asked for a sign of life.
-    pub fn asked(&self) {
-        self.asked.notify_one();
+    pub fn probe_received(&self) {
+        self.probe.notify_one();
     }
 
     /// Notes the place of a frame among all that came to this node.
-    pub fn stamp(&self, place: u64) {
-        self.last_heard.store(place, Ordering::Relaxed);
+    pub fn record_received(&self, position: u64) {
+        self.last_received.store(position, Ordering::Relaxed);
     }
 
     /// The place of the last frame; later ones came on connections that lived later.
-    pub fn last_heard(&self) -> u64 {
-        self.last_heard.load(Ordering::Relaxed)
+    pub fn last_received(&self) -> u64 {
+        self.last_received.load(Ordering::Relaxed)
     }
 
     /// Waits until the other end asks for a sign of life.
-    pub async fn wait_asked(&self) {
-        self.asked.notified().await;
+    pub async fn wait_for_probe(&self) {
+        self.probe.notified().await;
     }
 
     /// Whether answers are due.
-    pub fn awaits(&self) -> bool {
-        self.awaited.load(Ordering::Relaxed) > 0
+    pub fn awaits_answers(&self) -> bool {
+        self.unanswered_calls.load(Ordering::Relaxed) > 0
     }
 
     /// Looks at the connection once; `silent` counts the looks without a sign of life.
     ///
     /// Looks are counted and not time, since a process that was paused finds much time gone and the
     /// answers of that time unread in its socket.
-    pub fn look(&self, silent: &mut u32) -> PulseLook {
-        if self.quiet_looks.fetch_add(1, Ordering::Relaxed) >= LOOKS_PER_CALL {
+    pub fn check(&self, silent: &mut u32) -> LivenessAction {
+        if self.checks_since_call.fetch_add(1, Ordering::Relaxed) >= MAX_CHECKS_PER_CALL {
             // What is still awaited was answered on another connection of the two nodes.
-            self.awaited.store(0, Ordering::Relaxed);
-            return PulseLook::Fine;
+            self.unanswered_calls.store(0, Ordering::Relaxed);
+            return LivenessAction::None;
         }
-        if self.heard.swap(false, Ordering::Relaxed) {
+        if self.received.swap(false, Ordering::Relaxed) {
             *silent = 0;
-            return PulseLook::Fine;
+            return LivenessAction::None;
         }
         *silent += 1;
         match *silent {
-            1 => PulseLook::Probe,
-            looks if looks >= SILENT_LOOKS => PulseLook::Silent,
-            _ => PulseLook::Fine,
+            1 => LivenessAction::Probe,
+            checks if checks >= MAX_SILENT_CHECKS => LivenessAction::Close,
+            _ => LivenessAction::None,
         }
     }
 }
--- a/crates/anvil_node/src/peer/stream.rs
+++ b/crates/anvil_node/src/peer/stream.rs
@@ -53,7 +53,7 @@
 pub struct FrameReader<R> {
     reader: R,
     opener: stream::FrameOpener,
-    unpacker: compression::FrameDecompressor,
+    decompressor: compression::FrameDecompressor,
     buffer: BytesMut,
 }
 
@@ -67,7 +67,7 @@
         Self {
             reader,
             opener,
-            unpacker: compression::FrameDecompressor::default(),
+            decompressor: compression::FrameDecompressor::default(),
             buffer,
         }
     }
@@ -85,7 +85,7 @@
         let bytes = self.buffer.split_to(sealed);
         // The seal is checked before a byte is decoded, so only key holders reach the decoder.
         let frame = self.opener.open(&bytes)?;
-        let plain = self.unpacker.decompress(frame)?;
+        let plain = self.decompressor.decompress(frame)?;
         Ok(codec::decode_frame(&plain)?)
     }
 
--- a/crates/anvil_node/src/peer/table.rs
+++ b/crates/anvil_node/src/peer/table.rs
@@ -59,9 +59,9 @@
         frame: frame::PeerFrame,
     ) -> Option<event::NodeEvent> {
         let session = self.sessions.get_mut(peer);
-        let Some(session) = session.filter(|session| session.has_trusted()) else {
+        let Some(session) = session.filter(|session| session.has_usable()) else {
             let opened = self.open(peer, address, frame);
-            self.adopt(opened);
+            self.insert(opened);
             return None;
         };
         let frame = session.send(frame).err()?;
@@ -72,7 +72,7 @@
     }
 
     /// Takes a connection into use.
-    pub fn adopt(&mut self, opened: link::PeerLink) {
+    pub fn insert(&mut self, opened: link::PeerLink) {
         let peer = opened.peer;
         if let Some(session) = self.sessions.get_mut(peer) {
             session.links.push(opened);
@@ -86,7 +86,7 @@
     }
 
     /// Takes note of the end of a connection; the events are for the reducer, in order.
-    pub fn closed(&mut self, closed: link::ClosedLink) -> Vec<event::NodeEvent> {
+    pub fn on_closed(&mut self, closed: link::ClosedLink) -> Vec<event::NodeEvent> {
         let peer = closed.peer;
         let Some(session) = self.sessions.get_mut(peer) else {
             return closing_events(peer, closed.unsent, closed.used);
@@ -98,11 +98,11 @@
             self.sessions.remove(peer);
             return closing_events(peer, unsent, closed.used);
         }
-        if closed.silent {
-            session.doubt_all();
+        if closed.unresponsive {
+            session.suspect_all();
         }
         let mut events = self.reroute(peer, unsent);
-        if closed.used && closed.owed {
+        if closed.used && closed.awaits_answers {
             events.push(event::NodeEvent::ConnectionLost { peer });
         }
         events
@@ -115,7 +115,7 @@
         frames: Vec<frame::PeerFrame>,
     ) -> Vec<event::NodeEvent> {
         let session = self.sessions.get_mut(peer);
-        let unsent: Vec<_> = match session.filter(|session| session.has_trusted()) {
+        let unsent: Vec<_> = match session.filter(|session| session.has_usable()) {
             Some(session) => {
                 let refused = frames.into_iter().map(|frame| session.send(frame));
                 refused.filter_map(Result::err).collect()
@@ -135,7 +135,7 @@
         address: SocketAddr,
         first: frame::PeerFrame,
     ) -> link::PeerLink {
-        let (opened, parts) = link::pair(peer, self.context.next_link());
+        let (opened, parts) = link::new_link(peer, self.context.next_link_id());
         // The frame is queued before anybody dials: a refused connection ends within
         // microseconds, and a frame that came after its end would be lost without a word, so that
         // its caller waited for a deadline. The queue is new and empty, so the frame fits.
@@ -153,19 +153,19 @@
     /// Failure: the network drops both connections of two nodes without a sign, and one is found silent.
     /// Symptom: the question about the calls on it goes out on the other and is lost too, so calls are
     /// given up at whose targets they run. What has to be known goes on a new connection.
-    fn doubt_all(&mut self) {
-        self.links.iter_mut().for_each(link::PeerLink::doubt);
+    fn suspect_all(&mut self) {
+        self.links.iter_mut().for_each(link::PeerLink::mark_suspect);
     }
 
     /// Whether there is a connection to send on.
-    fn has_trusted(&self) -> bool {
-        self.links.iter().any(|link| !link.is_doubted())
+    fn has_usable(&self) -> bool {
+        self.links.iter().any(|link| !link.is_suspect())
     }
 
     /// Hands the frame back where the queue is full.
     fn send(&mut self, frame: frame::PeerFrame) -> Result<(), frame::PeerFrame> {
-        let trusted = self.links.iter().rev().filter(|link| !link.is_doubted());
-        let current = trusted.max_by_key(|link| link.pulse.last_heard());
+        let usable = self.links.iter().rev().filter(|link| !link.is_suspect());
+        let current = usable.max_by_key(|link| link.liveness.last_received());
         let Some(current) = current else {
             self.unsent.push(frame);
             return Ok(());
--- a/crates/anvil_node/src/reload.rs
+++ b/crates/anvil_node/src/reload.rs
@@ -23,7 +23,7 @@
     }
 
     /// Looks at the file again and logs what came of it.
-    pub fn look(&mut self) {
+    pub fn check(&mut self) {
         let text = match std::fs::read_to_string(&self.file) {
             Ok(text) => text,
             Err(error) => {
--- a/crates/anvil_node/src/stop.rs
+++ b/crates/anvil_node/src/signals.rs
@@ -19,7 +19,7 @@
     let waiting = move || {
         for signal in signals.forever() {
             if signal == consts::SIGHUP {
-                settings.look();
+                settings.check();
                 continue;
             }
             let requested = engine::EngineInput::Event(event::NodeEvent::StopRequested);
--- a/crates/anvil_node/src/store.rs
+++ b/crates/anvil_node/src/store.rs
@@ -14,7 +14,7 @@
 use crate::{clock, dialect, engine};
 
 /// Questions that wait for the store's threads.
-pub const QUEUE_LIMIT: usize = 256;
+pub const MAX_QUEUED_REQUESTS: usize = 256;
 
 /// Threads that carry out calls other than watches.
 const CALL_THREADS: u32 = 3;
@@ -30,16 +30,16 @@
 
 /// One question on its way to the store's threads.
 #[derive(Clone, Debug)]
-struct StoreQuestion {
+struct QueuedRequest {
     id: store::StoreId,
-    ask: store::StoreRequest,
+    request: store::StoreRequest,
 }
 
 /// Hands questions to the store's threads; owned by the reducer's task.
 #[derive(Debug)]
 pub struct StoreQueue {
-    calls: flume::Sender<StoreQuestion>,
-    watches: flume::Sender<StoreQuestion>,
+    calls: flume::Sender<QueuedRequest>,
+    watches: flume::Sender<QueuedRequest>,
 }
 
 /// What every thread of the store shares.
@@ -60,8 +60,8 @@
         clock: clock::NodeClock,
         engine: engine::EngineSender,
     ) -> eyre::Result<Self> {
-        let (calls, waiting_calls) = flume::bounded(QUEUE_LIMIT);
-        let (watches, waiting_watches) = flume::bounded(QUEUE_LIMIT);
+        let (calls, waiting_calls) = flume::bounded(MAX_QUEUED_REQUESTS);
+        let (watches, waiting_watches) = flume::bounded(MAX_QUEUED_REQUESTS);
         let queue = Self { calls, watches };
         let Some(client) = client else {
             return Ok(queue);
@@ -94,12 +94,16 @@
     }
 
     /// Asks; where the question can't wait in the queue, its answer comes back at once.
-    pub fn ask(&self, id: store::StoreId, ask: store::StoreRequest) -> Option<event::NodeEvent> {
-        let queue = match ask {
+    pub fn submit(
+        &self,
+        id: store::StoreId,
+        request: store::StoreRequest,
+    ) -> Option<event::NodeEvent> {
+        let queue = match request {
             store::StoreRequest::Watch { .. } => &self.watches,
             _ => &self.calls,
         };
-        let refused = queue.try_send(StoreQuestion { id, ask }).is_err();
+        let refused = queue.try_send(QueuedRequest { id, request }).is_err();
         // The question never left, so it is known not to have been carried out.
         let outcome = store::StoreOutcome::Unavailable;
         refused.then_some(event::NodeEvent::StoreAnswered { id, outcome })
@@ -107,35 +111,38 @@
 }
 
 impl StoreWorker {
-    fn spawn(self, questions: flume::Receiver<StoreQuestion>) -> eyre::Result<()> {
+    fn spawn(self, requests: flume::Receiver<QueuedRequest>) -> eyre::Result<()> {
         let builder = thread::Builder::new().name("store".to_owned());
-        let thread = builder.spawn(move || self.run(&questions));
+        let thread = builder.spawn(move || self.run(&requests));
         thread.wrap_err("a thread for the store could not be started")?;
         Ok(())
     }
 
-    fn run(&self, questions: &flume::Receiver<StoreQuestion>) {
-        for question in questions {
-            let outcome = self.carry_out(&question);
-            if self.engine.send(answer(question.id, outcome)).is_err() {
+    fn run(&self, requests: &flume::Receiver<QueuedRequest>) {
+        for queued in requests {
+            let outcome = self.carry_out(&queued);
+            if self.engine.send(answer(queued.id, outcome)).is_err() {
                 return;
             }
         }
     }
 
-    fn carry_out(&self, question: &StoreQuestion) -> store::StoreOutcome {
+    fn carry_out(&self, queued: &QueuedRequest) -> store::StoreOutcome {
         let now = self.clock.now();
-        let part = question.id.requester;
-        if self.budget(part).begin(now).is_err() {
+        let requester = queued.id.requester;
+        if self.budget(requester).begin(now).is_err() {
             return store::StoreOutcome::Unavailable;
         }
-        let outcome = self.client.carry_out(&question.ask);
-        self.budget(part).end();
+        let outcome = self.client.carry_out(&queued.request);
+        self.budget(requester).end();
         outcome
     }
 
-    fn budget(&self, part: store::StoreRequester) -> std::sync::MutexGuard<'_, budget::CallBudget> {
-        let budget = match part {
+    fn budget(
+        &self,
+        requester: store::StoreRequester,
+    ) -> std::sync::MutexGuard<'_, budget::CallBudget> {
+        let budget = match requester {
             store::StoreRequester::Fleet => &self.budget,
             store::StoreRequester::Keys => &self.key_budget,
         };
--- a/crates/anvil_node/src/target/exchange.rs
+++ b/crates/anvil_node/src/target/exchange.rs
@@ -19,7 +19,7 @@
 
 /// Answers to other requests that may come before the one waited for; a target that sends more has
 /// lost its place.
-const STRAY_LIMIT: u32 = 2;
+const MAX_UNRELATED_ANSWERS: u32 = 2;
 
 /// What an exchange works with.
 #[derive(Clone, Debug)]
@@ -37,7 +37,7 @@
     parts: response::Parts,
     meaning: target::AnswerMeaning,
     body: Bytes,
-    keeping: message::KeepOpen,
+    keep_alive: message::KeepAlive,
 }
 
 /// How far the request has been written.
@@ -81,7 +81,7 @@
         };
         self.count(&outcome);
         self.counters
-            .run_took(latency_outcome(&outcome), began.elapsed());
+            .observe_run(latency_outcome(&outcome), began.elapsed());
         outcome
     }
 
@@ -136,11 +136,11 @@
                 }
             }
         };
-        let spent = writing != BodyWriting::Done || reader.has_rest();
+        let spent = writing != BodyWriting::Done || reader.has_excess_bytes();
         if let Some(answer) = read.as_mut().ok().filter(|_| spent) {
             // The rest of the body, or what came behind the answer, would be taken for a part of
             // what comes next.
-            answer.keeping = message::KeepOpen::No;
+            answer.keep_alive = message::KeepAlive::No;
         }
         read
     }
@@ -154,18 +154,18 @@
     where
         R: tokio::io::AsyncRead + Unpin,
     {
-        let mut strays = 0;
+        let mut unrelated = 0;
         loop {
             let answer = self.read_one(run, reader).await;
             let mut answer = answer.map_err(|fault| self.lost(&fault, reader.has_begun()))?;
             if answer.meaning != target::AnswerMeaning::Unrelated {
-                if strays > 0 {
-                    answer.keeping = message::KeepOpen::No;
+                if unrelated > 0 {
+                    answer.keep_alive = message::KeepAlive::No;
                 }
                 return Ok(answer);
             }
-            strays += 1;
-            if strays > STRAY_LIMIT {
+            unrelated += 1;
+            if unrelated > MAX_UNRELATED_ANSWERS {
                 return Err(ExchangeFault::Lost { in_answer: true });
             }
         }
@@ -181,19 +181,19 @@
     {
         let head = reader.head(&run.request.method).await?;
         let meaning = self.dialect.classify(run, &head.parts);
-        let open_end = self.dialect.close_meaning();
-        let body = reader.body(head.framing, open_end, codec::MAX_BODY_BYTES);
+        let close_meaning = self.dialect.close_meaning();
+        let body = reader.body(head.framing, close_meaning, codec::MAX_BODY_BYTES);
         Ok(ReadAnswer {
             parts: head.parts,
             meaning,
             body: body.await?,
-            keeping: head.keeping,
+            keep_alive: head.keep_alive,
         })
     }
 
     fn lost(&self, fault: &message::AnswerFault, in_answer: bool) -> ExchangeFault {
         match fault {
-            message::AnswerFault::OpenEnded => self
+            message::AnswerFault::MissingLength => self
                 .counters
                 .count(counters::EdgeCause::TargetAnswerUnframed),
             message::AnswerFault::Oversized => self
@@ -202,7 +202,7 @@
             message::AnswerFault::Malformed { reason } => {
                 log::debug!("the target's answer is malformed: {reason}");
             }
-            message::AnswerFault::Broken(_) | message::AnswerFault::Ended => {}
+            message::AnswerFault::Broken(_) | message::AnswerFault::UnexpectedEnd => {}
         }
         ExchangeFault::Lost { in_answer }
     }
@@ -216,7 +216,7 @@
         match answer.meaning {
             target::AnswerMeaning::Answer => {}
             target::AnswerMeaning::Refused => {
-                self.pool.give_back(connection, answer.keeping);
+                self.pool.release(connection, answer.keep_alive);
                 return event::RunOutcome::Refused;
             }
             target::AnswerMeaning::Misdirected { holder } => {
@@ -226,14 +226,14 @@
                 return event::RunOutcome::Broken { in_answer: true };
             }
         }
-        self.pool.give_back(connection, answer.keeping);
+        self.pool.release(connection, answer.keep_alive);
         let head = answer.parts;
         let not_modified = head.status == http::StatusCode::NOT_MODIFIED;
         let bodiless = run.request.method == "HEAD" || not_modified;
-        let keeps_back = |name: &str| self.dialect.is_internal_header(name);
+        let is_internal = |name: &str| self.dialect.is_internal_header(name);
         event::RunOutcome::Answered(call::CallAnswer {
             status: head.status.as_u16(),
-            headers: hops::answer_lines(&head.headers, bodiless, keeps_back),
+            headers: hops::answer_lines(&head.headers, bodiless, is_internal),
             body: answer.body,
         })
     }
@@ -245,7 +245,9 @@
             event::RunOutcome::Misdirected { .. } => counters::EdgeCause::TargetMisdirected,
             event::RunOutcome::Unreachable => counters::EdgeCause::TargetUnreachable,
             event::RunOutcome::Broken { in_answer: false } => counters::EdgeCause::TargetBroken,
-            event::RunOutcome::Broken { in_answer: true } => counters::EdgeCause::TargetAnswerCut,
+            event::RunOutcome::Broken { in_answer: true } => {
+                counters::EdgeCause::TargetAnswerTruncated
+            }
             event::RunOutcome::TimedOut => counters::EdgeCause::TargetTimedOut,
             event::RunOutcome::Cancelled => counters::EdgeCause::TargetCancelled,
         };
--- a/crates/anvil_node/src/target/message.rs
+++ b/crates/anvil_node/src/target/message.rs
@@ -30,7 +30,7 @@
     Broken(std::io::Error),
     /// The connection ended before the answer did.
     #[display("the connection ended in the answer")]
-    Ended,
+    UnexpectedEnd,
     /// The bytes are no answer.
     #[display("the bytes are no answer: {reason}")]
     #[from(skip)]
@@ -44,7 +44,7 @@
     Oversized,
     /// The body states no length, and its end can't be told from a cut.
     #[display("the end of the body can't be told from a cut")]
-    OpenEnded,
+    MissingLength,
 }
 
 /// How a body is framed.
@@ -68,12 +68,12 @@
     /// How the body is framed.
     pub framing: BodyFraming,
     /// Whether the target keeps the connection open, and for how long where it says so.
-    pub keeping: KeepOpen,
+    pub keep_alive: KeepAlive,
 }
 
 /// What an answer says of its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum KeepOpen {
+pub enum KeepAlive {
     /// It ends with this answer.
     No,
     /// It stays open, for this long where the target says so.
@@ -85,7 +85,7 @@
 pub struct AnswerReader<R> {
     reader: R,
     buffer: BytesMut,
-    begun: bool,
+    has_begun: bool,
 }
 
 impl<R> AnswerReader<R>
@@ -97,17 +97,17 @@
         Self {
             reader,
             buffer: BytesMut::new(),
-            begun: false,
+            has_begun: false,
         }
     }
 
     /// Whether the head of an answer has come.
     pub fn has_begun(&self) -> bool {
-        self.begun
+        self.has_begun
     }
 
     /// Whether bytes came behind the last answer; they belong to no request.
-    pub fn has_rest(&self) -> bool {
+    pub fn has_excess_bytes(&self) -> bool {
         !self.buffer.is_empty()
     }
 
@@ -131,7 +131,7 @@
     pub async fn body(
         &mut self,
         framing: BodyFraming,
-        open_end: target::CloseMeaning,
+        close_meaning: target::CloseMeaning,
         limit: usize,
     ) -> Result<Bytes, AnswerFault> {
         match framing {
@@ -142,8 +142,8 @@
                 Ok(self.buffer.split_to(length).freeze())
             }
             BodyFraming::Chunked => self.chunks(limit).await,
-            BodyFraming::UntilClose if open_end == target::CloseMeaning::Truncated => {
-                Err(AnswerFault::OpenEnded)
+            BodyFraming::UntilClose if close_meaning == target::CloseMeaning::Truncated => {
+                Err(AnswerFault::MissingLength)
             }
             BodyFraming::UntilClose => self.until_close(limit).await,
         }
@@ -159,7 +159,7 @@
             return Ok(None);
         };
         let head = read_head(&parsed, method)?;
-        self.begun = true;
+        self.has_begun = true;
         self.buffer.advance(length);
         Ok(Some(head))
     }
@@ -200,7 +200,7 @@
             }
             match self.fill().await {
                 Ok(()) => {}
-                Err(AnswerFault::Ended) => return Ok(self.buffer.split().freeze()),
+                Err(AnswerFault::UnexpectedEnd) => return Ok(self.buffer.split().freeze()),
                 Err(fault) => return Err(fault),
             }
         }
@@ -234,7 +234,7 @@
         self.buffer.reserve(READ_BYTES);
         let read = self.reader.read_buf(&mut self.buffer).await?;
         if read == 0 {
-            return Err(AnswerFault::Ended);
+            return Err(AnswerFault::UnexpectedEnd);
         }
         Ok(())
     }
@@ -245,14 +245,14 @@
     let status = StatusCode::from_u16(code).map_err(|_| malformed("the status"))?;
     let headers = head::header_map(parsed.headers).ok_or_else(|| malformed("a header"))?;
     let framing = framing(status, &headers, method)?;
-    let keeping = keeping(parsed.version == Some(1), &headers, framing);
+    let keep_alive = keep_alive(parsed.version == Some(1), &headers, framing);
     let (mut parts, ()) = http::Response::new(()).into_parts();
     parts.status = status;
     parts.headers = headers;
     Ok(AnswerHead {
         parts,
         framing,
-        keeping,
+        keep_alive,
     })
 }
 
@@ -282,7 +282,7 @@
             if lengths.any(|other| other != length) {
                 return Err(malformed("two lengths"));
             }
-            head::body_length(length)
+            head::parse_content_length(length)
                 .map(BodyFraming::Length)
                 .ok_or_else(|| malformed("the length"))
         }
@@ -290,16 +290,16 @@
     }
 }
 
-fn keeping(current: bool, headers: &HeaderMap, framing: BodyFraming) -> KeepOpen {
-    if head::says_close(headers) || !current || framing == BodyFraming::UntilClose {
-        return KeepOpen::No;
+fn keep_alive(current: bool, headers: &HeaderMap, framing: BodyFraming) -> KeepAlive {
+    if head::closes_connection(headers) || !current || framing == BodyFraming::UntilClose {
+        return KeepAlive::No;
     }
     let stated = headers.get("keep-alive").and_then(|value| {
         let mut parts = value.to_str().ok()?.split(',');
         let seconds = parts.find_map(|part| part.trim().strip_prefix("timeout="))?;
         seconds.trim().parse().ok().map(Duration::from_secs)
     });
-    KeepOpen::Yes(stated)
+    KeepAlive::Yes(stated)
 }
 
 fn chunk_size(line: &[u8]) -> Result<usize, AnswerFault> {
--- a/crates/anvil_node/src/target/native.rs
+++ b/crates/anvil_node/src/target/native.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug)]
 pub struct NativeTargets {
     /// Mints the token that the target sends back on its own calls.
-    pub mint: parent::ParentMint,
+    pub issuer: parent::TokenIssuer,
 }
 
 impl target::TargetDialect for NativeTargets {
@@ -27,7 +27,7 @@
         }
         let millis = whole_millis(order.timeout).into();
         headers.insert(header::TIMEOUT, millis);
-        let parent = self.mint.mint(order.run).parse().ok()?;
+        let parent = self.issuer.issue(order.run).parse().ok()?;
         headers.insert(header::PARENT, parent);
         if let Some(account) = &order.account {
             let account = account.as_str().parse().ok()?;
--- a/crates/anvil_node/src/target/parent.rs
+++ b/crates/anvil_node/src/target/parent.rs
@@ -16,17 +16,17 @@
 /// somebody else's request. The key is drawn at each start and never leaves the process, so only
 /// whoever was handed a token can send it back.
 #[derive(Clone)]
-pub struct ParentMint {
+pub struct TokenIssuer {
     keyed: Hmac<Sha256>,
 }
 
-impl std::fmt::Debug for ParentMint {
+impl std::fmt::Debug for TokenIssuer {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("ParentMint")
+        f.write_str("TokenIssuer")
     }
 }
 
-impl ParentMint {
+impl TokenIssuer {
     /// Builds a mint from a random key.
     pub fn new(key: [u8; 32]) -> Self {
         let mut padded = [0; 64];
@@ -36,13 +36,13 @@
     }
 
     /// The token of `run`, as header text.
-    pub fn mint(&self, run: event::RunId) -> String {
+    pub fn issue(&self, run: event::RunId) -> String {
         let code = u128::from_be_bytes(self.code(run));
         format!("{:016x}{code:032x}", run.0)
     }
 
     /// The run that `text` names, where this mint made it.
-    pub fn check(&self, text: &str) -> Option<event::ParentToken> {
+    pub fn verify(&self, text: &str) -> Option<event::ParentToken> {
         if !text.is_ascii() || text.len() != RUN_DIGITS + 2 * CODE_BYTES {
             return None;
         }
--- a/crates/anvil_node/src/target/pool.rs
+++ b/crates/anvil_node/src/target/pool.rs
@@ -12,20 +12,20 @@
 use crate::counters;
 
 /// Longest wait for a connection to the local target; it stands on the same instance.
-const CONNECT_LIMIT: Duration = Duration::from_millis(1_000);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// Longest rest of a kept connection, in front of the common keep-alive limit of five seconds, so
 /// that a request seldom meets a connection that the target closes at that moment.
-pub const IDLE_LIMIT: Duration = Duration::from_millis(4_000);
+pub const MAX_IDLE: Duration = Duration::from_millis(4_000);
 
 /// Share of the time that the target says it keeps a connection, in percent, after which it is
 /// used no more: the rest covers the way there and a busy node.
-const STATED_SHARE: u32 = 70;
+const STATED_TIMEOUT_PERCENT: u32 = 70;
 
 /// Longest rest of a connection that may carry a request which must not run twice. The longer it
 /// rested, the likelier the target closes it at that moment, and a request that meets the close can
 /// neither be sent again nor be told as not run. A new connection costs a millisecond.
-const CAREFUL_IDLE_LIMIT: Duration = Duration::from_millis(500);
+const MAX_IDLE_NON_IDEMPOTENT: Duration = Duration::from_millis(500);
 
 /// No connection to the target came about, so no byte of the request left.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error)]
@@ -70,10 +70,10 @@
     }
 
     /// A kept connection to `address`, the latest used first, so that surplus ones age and close;
-    /// `careful` takes only one that was used a moment ago.
-    pub fn take(&self, address: SocketAddr, careful: bool) -> Option<TargetConnection> {
+    /// `non_idempotent` takes only one that was used a moment ago.
+    pub fn take(&self, address: SocketAddr, non_idempotent: bool) -> Option<TargetConnection> {
         loop {
-            let connection = self.pop(address, careful)?;
+            let connection = self.pop(address, non_idempotent)?;
             if connection.is_quiet() {
                 self.counters.count(counters::EdgeCause::TargetReused);
                 return Some(connection);
@@ -83,7 +83,7 @@
 
     /// Opens a new connection to `address`.
     pub async fn open(&self, address: SocketAddr) -> Result<TargetConnection, ConnectFailed> {
-        let opening = tokio::time::timeout(CONNECT_LIMIT, TcpStream::connect(address));
+        let opening = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address));
         let stream = opening.await.map_err(|_| ConnectFailed)?;
         let stream = stream.map_err(|_| ConnectFailed)?;
         // Nagle's algorithm would hold the tail of a request back for a delayed acknowledgement.
@@ -94,18 +94,18 @@
             stream,
             address,
             idle_since: Instant::now(),
-            idle_limit: IDLE_LIMIT,
+            idle_limit: MAX_IDLE,
             _open: counters::GaugeGuard::hold(gauge),
         })
     }
 
     /// Keeps a connection whose answer was read whole, where the target keeps it too.
-    pub fn give_back(&self, mut connection: TargetConnection, keeping: message::KeepOpen) {
-        let message::KeepOpen::Yes(stated) = keeping else {
+    pub fn release(&self, mut connection: TargetConnection, keep_alive: message::KeepAlive) {
+        let message::KeepAlive::Yes(stated) = keep_alive else {
             return;
         };
-        let stated = stated.map(|span| span * STATED_SHARE / 100);
-        connection.idle_limit = stated.unwrap_or(IDLE_LIMIT);
+        let stated = stated.map(|span| span * STATED_TIMEOUT_PERCENT / 100);
+        connection.idle_limit = stated.unwrap_or(MAX_IDLE);
         connection.idle_since = Instant::now();
         self.lock().push(connection);
     }
@@ -115,11 +115,11 @@
         self.lock().retain(is_fresh);
     }
 
-    fn pop(&self, address: SocketAddr, careful: bool) -> Option<TargetConnection> {
+    fn pop(&self, address: SocketAddr, non_idempotent: bool) -> Option<TargetConnection> {
         let mut resting = self.lock();
         let usable = |connection: &TargetConnection| {
             let rested = connection.idle_since.elapsed();
-            let fit = !careful || rested < CAREFUL_IDLE_LIMIT;
+            let fit = !non_idempotent || rested < MAX_IDLE_NON_IDEMPOTENT;
             connection.address == address && is_fresh(connection) && fit
         };
         let place = resting.iter().rposition(usable)?;
--- a/crates/anvil_node/src/target/runs.rs
+++ b/crates/anvil_node/src/target/runs.rs
@@ -59,7 +59,7 @@
     }
 
     /// Forgets a run that ended.
-    pub fn forget(&mut self, run: event::RunId) {
+    pub fn remove(&mut self, run: event::RunId) {
         self.cancels.remove(run);
     }
 }
--- a/crates/anvil_node/tests/peer_faults.rs
+++ b/crates/anvil_node/tests/peer_faults.rs
@@ -152,7 +152,7 @@
     common::await_true("the target has it", || pair.target.seen().len() == 1);
     drop(peer);
     common::await_true("the target is told", || pair.target.abandoned() == 1);
-    pair.await_count(counters::EdgeCause::PeerLost, 1);
+    pair.await_count(counters::EdgeCause::PeerConnectionLost, 1);
     pair.assert_lives();
 }
 
@@ -216,7 +216,7 @@
     living.receive_answer();
     living.send(&call_of(2, "/slow/300"));
     drop(idle);
-    pair.await_count(counters::EdgeCause::PeerLost, 1);
+    pair.await_count(counters::EdgeCause::PeerConnectionLost, 1);
     let answer = living.receive_answer();
     assert_eq!(answer.call.sequence, 2);
     assert_eq!(answer.verdict, verdict::CallVerdict::Answered);
--- a/crates/anvil_node/tests/peer_table.rs
+++ b/crates/anvil_node/tests/peer_table.rs
@@ -27,7 +27,7 @@
     parts: [link::LinkParts; 2],
     ids: [link::LinkId; 2],
     /// The pulse of the second.
-    spare: Arc<anvil_node::peer::pulse::LinkPulse>,
+    spare: Arc<anvil_node::peer::liveness::LinkLiveness>,
     _alive: watch::Sender<bool>,
 }
 
@@ -39,23 +39,23 @@
             ring: Arc::new(impostor::key_ring(0)),
             engine: flume::unbounded().0,
             counters: counters::EdgeCounters::new().unwrap(),
-            links: Arc::default(),
-            heard: Arc::default(),
+            link_ids: Arc::default(),
+            received_frames: Arc::default(),
             drain: server::DrainSignal {
                 closing: watched,
-                alive: mpsc::channel(1).0,
+                flush_guard: mpsc::channel(1).0,
             },
         };
         let mut table = table::PeerTable::new(tokio::runtime::Handle::current(), context.clone());
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let ids = [context.next_link(), context.next_link()];
-        let (first, first_parts) = link::pair(impostor::NODE, ids[0]);
-        let (second, second_parts) = link::pair(impostor::NODE, ids[1]);
-        let spare = second.pulse.clone();
-        first.pulse.stamp(2);
-        second.pulse.stamp(1);
-        table.adopt(first);
-        table.adopt(second);
+        let ids = [context.next_link_id(), context.next_link_id()];
+        let (first, first_parts) = link::new_link(impostor::NODE, ids[0]);
+        let (second, second_parts) = link::new_link(impostor::NODE, ids[1]);
+        let spare = second.liveness.clone();
+        first.liveness.record_received(2);
+        second.liveness.record_received(1);
+        table.insert(first);
+        table.insert(second);
         Self {
             table,
             listener,
@@ -71,14 +71,14 @@
     }
 
     /// The first connection ends with calls on it.
-    fn lose_first(&mut self, silent: bool) {
-        let events = self.table.closed(link::ClosedLink {
+    fn lose_first(&mut self, unresponsive: bool) {
+        let events = self.table.on_closed(link::ClosedLink {
             peer: impostor::NODE,
             link: self.ids[0],
             unsent: Vec::new(),
             used: true,
-            owed: true,
-            silent,
+            awaits_answers: true,
+            unresponsive,
         });
         assert_eq!(events.len(), 1, "{events:?}");
     }
@@ -92,7 +92,7 @@
         let ask = frame::PeerFrame::Outcome(Box::new(message));
         let address = self.address();
         assert!(self.table.send(impostor::NODE, address, ask).is_none());
-        let on_spare = self.parts[1].waiting() > 0;
+        let on_spare = self.parts[1].queued_frames() > 0;
         if !on_spare {
             let dialled = tokio::time::timeout(DIAL_WAIT, self.listener.accept());
             dialled.await.unwrap().unwrap();
@@ -113,7 +113,7 @@
 async fn a_connection_heard_from_since_is_used_again() {
     let mut links = TwoLinks::open().await;
     links.lose_first(true);
-    links.spare.stamp(3);
+    links.spare.record_received(3);
     assert!(!links.asks_on_a_new_one().await);
 }
 
--- a/crates/anvil_node/tests/pipelining.rs
+++ b/crates/anvil_node/tests/pipelining.rs
@@ -105,8 +105,8 @@
     let mut bytes = Vec::new();
     let mut buffer = [0; 4_096];
     loop {
-        if let framing::RequestFrame::Known(known) = framing::front(&bytes, 64 * 1024)
-            && bytes.len() >= known.bytes()
+        if let framing::ParsedRequest::Known(known) = framing::parse_front(&bytes, 64 * 1024)
+            && bytes.len() >= known.total_bytes()
         {
             return Some(known.parts.uri.path().to_owned());
         }
@@ -233,7 +233,7 @@
     let stream = common::raw(pair.caller(), sent.as_bytes());
     target.await_seen(&["/1", "/2", "/3"]);
     drop(stream);
-    pair.await_count(anvil_node::counters::EdgeCause::CallerGone, 3);
+    pair.await_count(anvil_node::counters::EdgeCause::CallerDisconnected, 3);
     target.await_state("all are closed", |state| state.closed == 3);
 }
 
@@ -298,12 +298,12 @@
 }
 
 fn a_front_is_read(bytes: &str, expected: Option<(usize, usize, bool)>) {
-    let found = match framing::front(bytes.as_bytes(), 1_024) {
-        framing::RequestFrame::Known(known) => Some(known),
+    let found = match framing::parse_front(bytes.as_bytes(), 1_024) {
+        framing::ParsedRequest::Known(known) => Some(known),
         _ => None,
     };
     let found = found.map(|known| {
-        let may_run_ahead = !known.expects && !known.closes;
+        let may_run_ahead = !known.expects_continue && !known.closes_connection;
         (known.head_bytes, known.body_bytes, may_run_ahead)
     });
     assert_eq!(found, expected);
@@ -328,15 +328,15 @@
 proptest! {
     #[test]
     fn no_front_makes_it_panic(bytes in prop::collection::vec(any::<u8>(), 0..300), limit in 0_usize..400) {
-        let _ = framing::front(&bytes, limit);
+        let _ = framing::parse_front(&bytes, limit);
     }
 
     #[test]
     fn a_known_request_lies_within_its_bytes(body in 0_usize..2_000, rest in "[ -~]{0,60}") {
         let text = format!("PUT /x HTTP/1.1\r\ncontent-length: {body}\r\n\r\n{rest}");
-        let framing::RequestFrame::Known(known) = framing::front(text.as_bytes(), 1_024) else {
+        let framing::ParsedRequest::Known(known) = framing::parse_front(text.as_bytes(), 1_024) else {
             return Err(TestCaseError::fail("it is known"));
         };
-        prop_assert_eq!(known.bytes(), text.len() - rest.len() + body);
+        prop_assert_eq!(known.total_bytes(), text.len() - rest.len() + body);
     }
 }
--- a/crates/anvil_node/tests/target_faults.rs
+++ b/crates/anvil_node/tests/target_faults.rs
@@ -29,7 +29,7 @@
     fails:
     // The caller sees 502 and may-have-run, never a 200 with half a body: the target answers 200,
     // sends the first half and breaks off; the node had not begun its own reply yet.
-    dies_in_its_answer => ("/cut", 502, "may-have-run", counters::EdgeCause::TargetAnswerCut),
+    dies_in_its_answer => ("/cut", 502, "may-have-run", counters::EdgeCause::TargetAnswerTruncated),
     // The caller sees may-have-run: the target took the whole request and closed without an
     // answer, so it may have stored the bid.
     dies_before_its_answer => ("/drop", 502, "may-have-run", counters::EdgeCause::TargetBroken),
@@ -66,8 +66,8 @@
     // A target that dies closes its connection like one that has finished; without a length or
     // chunks the two can't be told apart, and a caller would take half an answer for a whole one.
     unframed_answer => (b"HTTP/1.1 200 OK\r\n\r\nhalf or whole?", counters::EdgeCause::TargetAnswerUnframed),
-    short_answer => (b"HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhalf", counters::EdgeCause::TargetAnswerCut),
-    cut_chunks => (b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n5\r\nthr", counters::EdgeCause::TargetAnswerCut),
+    short_answer => (b"HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhalf", counters::EdgeCause::TargetAnswerTruncated),
+    cut_chunks => (b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n5\r\nthr", counters::EdgeCause::TargetAnswerTruncated),
     no_http => (b"hello\r\n\r\n", counters::EdgeCause::TargetBroken),
 }
 
@@ -124,7 +124,7 @@
     common::await_true("the target has it", || pair.target.seen().len() == 1);
     drop(stream);
     common::await_true("the target is told", || pair.target.abandoned() == 1);
-    pair.await_count(counters::EdgeCause::CallerGone, 1);
+    pair.await_count(counters::EdgeCause::CallerDisconnected, 1);
     pair.assert_lives();
 }
 
--- a/crates/anvil_node/tests/two_nodes.rs
+++ b/crates/anvil_node/tests/two_nodes.rs
@@ -186,7 +186,7 @@
 fn the_end_of_one_of_two_connections_loses_no_answer() {
     let mut two = two_connections();
     drop(two.second);
-    let lost = anvil_node::counters::EdgeCause::PeerLost;
+    let lost = anvil_node::counters::EdgeCause::PeerConnectionLost;
     common::await_true("one has ended", || two.entry.counters().total(lost) == 1);
     two.first.answer(two.call.call, two.call.attempt, "whole");
     assert_eq!(two.asking.join().unwrap(), "whole");
