--- a/crates/anvil_node/src/target/pool.rs
+++ b/crates/anvil_node/src/target/pool.rs
@@ -1,4 +1,4 @@
-//! Kept connections to the local target.
+//! Pool of connections to the local target.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -11,28 +11,29 @@
 use super::message;
 use crate::counters;
 
-/// Longest wait for a connection to the local target; it stands on the same instance.
+/// Longest time for opening a connection to the local target, which runs on the same instance.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Longest rest of a kept connection, in front of the common keep-alive limit of five seconds, so
-/// that a request seldom meets a connection that the target closes at that moment.
+/// Longest idle time of a connection; shorter than the common keep-alive timeout of five seconds,
+/// so that a request is rarely sent on a connection that the target is just closing.
 pub const MAX_IDLE: Duration = Duration::from_millis(4_000);
 
-/// Share of the time that the target says it keeps a connection, in percent, after which it is
-/// used no more: the rest covers the way there and a busy node.
+/// Share of the keep-alive timeout stated by the target, in percent, for which an idle connection
+/// is used; the rest covers the time of transfer and delays in a busy node.
 const STATED_TIMEOUT_PERCENT: u32 = 70;
 
-/// Longest rest of a connection that may carry a request which must not run twice. The longer it
-/// rested, the likelier the target closes it at that moment, and a request that meets the close can
-/// neither be sent again nor be told as not run. A new connection costs a millisecond.
+/// Longest idle time of a connection that may carry a request which must not run twice. The longer
+/// a connection was idle, the likelier it is that the target is just closing it, and a request that
+/// meets the close can neither be sent again nor be reported as not run. A new connection costs a
+/// millisecond.
 const MAX_IDLE_NON_IDEMPOTENT: Duration = Duration::from_millis(500);
 
-/// No connection to the target came about, so no byte of the request left.
+/// No connection to the target could be opened, so no byte of the request was sent.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error)]
 #[display("no connection to the target")]
 pub struct ConnectFailed;
 
-/// One open connection; dropping it closes it, which tells the target to stop.
+/// One open connection; dropping it closes it, which lets the target cancel its request.
 #[derive(Debug)]
 pub struct TargetConnection {
     /// The socket.
@@ -44,10 +45,11 @@
 }
 
 impl TargetConnection {
-    /// Whether nothing came since the last answer and the target has not closed the connection.
+    /// Whether nothing was received since the last answer and the target has not closed the
+    /// connection.
     ///
-    /// Bytes that came meanwhile belong to no request; read as the next answer, they would reach
-    /// another caller.
+    /// Bytes received while the connection was idle belong to no request; read as the next answer,
+    /// they would reach the wrong caller.
     fn is_quiet(&self) -> bool {
         let mut byte = [0; 1];
         let read = self.stream.try_read(&mut byte);
@@ -55,22 +57,22 @@
     }
 }
 
-/// Connections at rest, the latest used last.
+/// Idle connections, the most recently used last.
 #[derive(Clone, Debug)]
 pub struct ConnectionPool {
-    resting: Arc<Mutex<Vec<TargetConnection>>>,
+    idle: Arc<Mutex<Vec<TargetConnection>>>,
     counters: counters::EdgeCounters,
 }
 
 impl ConnectionPool {
     /// Builds an empty pool.
     pub fn new(counters: counters::EdgeCounters) -> Self {
-        let resting = Arc::default();
-        Self { resting, counters }
+        let idle = Arc::default();
+        Self { idle, counters }
     }
 
-    /// A kept connection to `address`, the latest used first, so that surplus ones age and close;
-    /// `non_idempotent` takes only one that was used a moment ago.
+    /// Takes an idle connection to `address`, the most recently used first, so that surplus ones
+    /// expire; for a request that is `non_idempotent`, only one that was used very recently.
     pub fn take(&self, address: SocketAddr, non_idempotent: bool) -> Option<TargetConnection> {
         loop {
             let connection = self.pop(address, non_idempotent)?;
@@ -86,7 +88,7 @@
         let opening = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address));
         let stream = opening.await.map_err(|_| ConnectFailed)?;
         let stream = stream.map_err(|_| ConnectFailed)?;
-        // Nagle's algorithm would hold the tail of a request back for a delayed acknowledgement.
+        // Nagle's algorithm would delay the tail of a request until an acknowledgement arrives.
         stream.set_nodelay(true).map_err(|_| ConnectFailed)?;
         self.counters.count(counters::EdgeCause::TargetConnected);
         let gauge: &IntGauge = self.counters.target_connections();
@@ -99,7 +101,8 @@
         })
     }
 
-    /// Keeps a connection whose answer was read whole, where the target keeps it too.
+    /// Returns a connection to the pool after its answer was read completely, if the target keeps
+    /// it open.
     pub fn release(&self, mut connection: TargetConnection, keep_alive: message::KeepAlive) {
         let message::KeepAlive::Yes(stated) = keep_alive else {
             return;
@@ -110,24 +113,24 @@
         self.lock().push(connection);
     }
 
-    /// Closes what has rested too long.
+    /// Closes connections that have been idle for too long.
     pub fn sweep(&self) {
         self.lock().retain(is_fresh);
     }
 
     fn pop(&self, address: SocketAddr, non_idempotent: bool) -> Option<TargetConnection> {
-        let mut resting = self.lock();
+        let mut idle = self.lock();
         let usable = |connection: &TargetConnection| {
-            let rested = connection.idle_since.elapsed();
-            let fit = !non_idempotent || rested < MAX_IDLE_NON_IDEMPOTENT;
-            connection.address == address && is_fresh(connection) && fit
+            let idle_time = connection.idle_since.elapsed();
+            let recent_enough = !non_idempotent || idle_time < MAX_IDLE_NON_IDEMPOTENT;
+            connection.address == address && is_fresh(connection) && recent_enough
         };
-        let place = resting.iter().rposition(usable)?;
-        Some(resting.remove(place))
+        let index = idle.iter().rposition(usable)?;
+        Some(idle.remove(index))
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, Vec<TargetConnection>> {
-        self.resting.lock().unwrap_or_else(PoisonError::into_inner)
+        self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
--- a/crates/anvil_node/src/target/runs.rs
+++ b/crates/anvil_node/src/target/runs.rs
@@ -1,4 +1,4 @@
-//! Runs in flight at the local target, and the way to cancel each.
+//! Runs in flight at the local target, and their cancellation.
 
 use anvil_core::{effect, event};
 use anvil_types::sorted;
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Starts a run; its end comes back as an event.
+    /// Starts a run; its outcome is sent to the engine as an event.
     pub fn start(&mut self, run: effect::RunOrder) {
         let id = run.run;
         let (cancel, cancelled) = oneshot::channel();
@@ -46,19 +46,19 @@
                 _ = cancelled => event::RunOutcome::Cancelled,
             };
             let ended = event::NodeEvent::RunEnded { run: id, outcome };
-            // The engine is gone only when the process leaves.
+            // Sending fails only if the process is exiting.
             let _ = engine.send_async(engine::EngineInput::Event(ended)).await;
         });
     }
 
-    /// Closes the connection of a run, which tells the target to stop.
+    /// Closes the connection of a run, which lets the target cancel it.
     pub fn cancel(&mut self, run: event::RunId) {
         if let Some(cancel) = self.cancels.remove(run) {
             let _ = cancel.send(());
         }
     }
 
-    /// Forgets a run that ended.
+    /// Removes a run that ended.
     pub fn remove(&mut self, run: event::RunId) {
         self.cancels.remove(run);
     }
--- a/crates/anvil_node/tests/process.rs
+++ b/crates/anvil_node/tests/process.rs
@@ -51,7 +51,7 @@
     says(
         &["--check-settings", "--settings", good.to_str().unwrap()],
         0,
-        "good",
+        "the settings are valid",
     );
     let bad = folder.join("bad.yaml");
     fs::write(&bad, common::yaml("  caller_connections: -1\n")).unwrap();
