--- a/crates/anvil_node/src/admin/question.rs
+++ b/crates/anvil_node/src/admin/operator_request.rs
@@ -1,4 +1,4 @@
-//! Operators' HTTP requests as questions to the reducer.
+//! Parses operators' HTTP requests into requests to the reducer.
 
 use anvil_core::event;
 use anvil_rules::{fault, parse};
@@ -8,51 +8,52 @@
 use derive_more::{Display, Error, From};
 use serde::Deserialize;
 
-/// Names the change, so that an apply whose answer was lost can be asked about again.
-pub const CHANGE: &str = "anvil-change";
+/// Header with the id of a change, so that an operator who lost the response to an apply can send
+/// it again.
+pub const CHANGE_HEADER: &str = "anvil-change";
 
-/// The revision that the operator's change was made from.
-pub const BASE: &str = "anvil-base";
+/// Header with the revision that the operator's change is based on.
+pub const BASE_HEADER: &str = "anvil-base";
 
-/// Who makes a change; optional, shown in the history.
-pub const AUTHOR: &str = "anvil-author";
+/// Header with the author of a change; optional, shown in the history.
+pub const AUTHOR_HEADER: &str = "anvil-author";
 
-/// Longest author kept, in bytes.
-pub const AUTHOR_BYTES: usize = 64;
+/// Longest accepted author, in bytes.
+pub const MAX_AUTHOR_BYTES: usize = 64;
 
-/// Names the text in faults; the operators' command puts the file's name in its place.
+/// Stands for the file name in faults; `anvilctl` replaces it by the name of the file.
 const TEXT_NAME: &str = "rules";
 
-/// The revision in force at the time of the answer.
-pub const REVISION: &str = "anvil-revision";
+/// Response header with the revision in force at the time of the response.
+pub const REVISION_HEADER: &str = "anvil-revision";
 
-/// Why an operator's request was refused before the reducer heard it.
+/// Why an operator's request was refused before it reached the reducer.
 #[derive(Debug, Display, Error, From)]
-pub enum QuestionError {
-    /// The body is no request to explain.
+pub enum RequestError {
+    /// The body is not a valid request to explain.
     #[display("the request to explain is malformed: {_0}")]
     Explain(serde_json::Error),
-    /// The rules are wrong; nothing was changed.
+    /// The rules have faults; nothing was changed.
     #[display("{_0}")]
     Rules(fault::RuleFaults),
-    /// The rules are no text.
+    /// The rules are not UTF-8.
     #[display("the rules are not UTF-8")]
     #[from(skip)]
-    NotText,
+    NotUtf8,
     /// A header is missing or malformed.
     #[display("the header {header} is missing or malformed: {expected} is expected")]
     #[from(skip)]
     Header {
-        /// Which.
+        /// The name of the header.
         header: &'static str,
-        /// What it should hold.
+        /// The expected value, in words.
         expected: &'static str,
     },
-    /// A header line to explain is malformed.
+    /// A header line of the request to explain is malformed.
     #[display("the header {name:?} to explain is malformed")]
     #[from(skip)]
-    Line {
-        /// Its name.
+    ExplainHeader {
+        /// The name of the header.
         name: String,
     },
 }
@@ -65,7 +66,7 @@
     method: String,
     #[serde(default = "root")]
     path: String,
-    /// Lines in order; a name may come twice.
+    /// Header lines in order; a name may occur more than once.
     #[serde(default)]
     headers: Vec<(String, String)>,
 }
@@ -78,14 +79,14 @@
     "/".to_owned()
 }
 
-/// Reads what to explain from the JSON in `bytes`.
-pub fn explain(bytes: &[u8]) -> Result<event::OperatorRequest, QuestionError> {
+/// Parses the request to explain from the JSON in `bytes`.
+pub fn parse_explain(bytes: &[u8]) -> Result<event::OperatorRequest, RequestError> {
     let body: ExplainBody = serde_json::from_slice(bytes)?;
     let mut headers = Vec::with_capacity(body.headers.len());
     for (name, value) in body.headers {
         let parsed: Result<http::HeaderName, _> = name.parse();
         let Ok(parsed) = parsed else {
-            return Err(QuestionError::Line { name });
+            return Err(RequestError::ExplainHeader { name });
         };
         headers.push(call::HeaderLine {
             name: parsed.as_str().to_owned(),
@@ -102,30 +103,32 @@
     Ok(event::OperatorRequest::Explain(Box::new(request)))
 }
 
-/// Reads a change of the rules, and checks the rules here: a text of a thousand rules takes 40 ms,
-/// in which the reducer would decide nothing.
-pub fn apply(
+/// Parses a change of the rules.
+///
+/// The rules are parsed and checked here and not in the reducer: a text of a thousand rules takes
+/// 40 ms, which would block every other decision of the node.
+pub fn parse_apply(
     bytes: &[u8],
     change: Option<&str>,
     author: Option<&str>,
     base: Option<&str>,
-) -> Result<event::OperatorRequest, QuestionError> {
-    let text = std::str::from_utf8(bytes).map_err(|_| QuestionError::NotText)?;
+) -> Result<event::OperatorRequest, RequestError> {
+    let text = std::str::from_utf8(bytes).map_err(|_| RequestError::NotUtf8)?;
     let change = change.and_then(|text| u128::from_str_radix(text, 16).ok());
-    let change = change.ok_or(QuestionError::Header {
-        header: CHANGE,
+    let change = change.ok_or(RequestError::Header {
+        header: CHANGE_HEADER,
         expected: "up to 32 hex digits",
     })?;
     let author = author.unwrap_or_default();
-    if author.len() > AUTHOR_BYTES || author.contains(char::is_control) {
-        return Err(QuestionError::Header {
-            header: AUTHOR,
+    if author.len() > MAX_AUTHOR_BYTES || author.contains(char::is_control) {
+        return Err(RequestError::Header {
+            header: AUTHOR_HEADER,
             expected: "at most 64 bytes",
         });
     }
     let base = base.and_then(|text| text.parse().ok());
-    let base = base.ok_or(QuestionError::Header {
-        header: BASE,
+    let base = base.ok_or(RequestError::Header {
+        header: BASE_HEADER,
         expected: "the number of a revision",
     })?;
     Ok(event::OperatorRequest::Apply {
--- a/crates/anvil_node/src/caller.rs
+++ b/crates/anvil_node/src/caller.rs
@@ -1,7 +1,8 @@
-//! The edge towards callers: HTTP/1.1 in, whole answers out.
+//! The caller edge: serves callers over HTTP/1.1 and returns complete responses.
 
 pub mod exchange;
 pub mod framing;
+pub mod head_timer;
 pub mod header;
 pub mod intake;
 pub mod native;
@@ -9,4 +10,3 @@
 pub mod problem;
 pub mod reply;
 pub mod server;
-pub mod watched;
--- a/crates/anvil_node/src/caller/native.rs
+++ b/crates/anvil_node/src/caller/native.rs
@@ -1,4 +1,4 @@
-//! The node's own dialect towards callers: `anvil-` headers, problem bodies.
+//! The node's own dialect towards callers: `anvil-` headers and problem bodies.
 
 use std::time::Duration;
 
@@ -14,18 +14,18 @@
 use crate::target::parent;
 
 /// Longest idempotency key, in bytes.
-pub const KEY_LIMIT: usize = 256;
+pub const MAX_KEY_BYTES: usize = 256;
 
 /// Speaks the node's own dialect towards callers.
 #[derive(Clone, Debug)]
 pub struct NativeCallers {
-    /// Recognises parent tokens.
-    pub mint: parent::ParentMint,
+    /// Verifies parent tokens.
+    pub issuer: parent::TokenIssuer,
 }
 
 impl caller::CallerDialect for NativeCallers {
     fn read_head(&self, head: &request::Parts) -> Result<CallHead, IntakeRefusal> {
-        read_head(head, &self.mint)
+        read_head(head, &self.issuer)
     }
 
     fn refused(&self, refusal: &IntakeRefusal) -> caller::FullResponse {
@@ -37,13 +37,13 @@
     }
 }
 
-/// How a refusal at the edge shows to the caller.
+/// The problem that a caller gets for a refusal at the edge.
 fn problem_of(refusal: &IntakeRefusal) -> problem::ProblemKind {
     let mut kind = problem::refusal(verdict::RefusalReason::Malformed);
     match refusal {
         IntakeRefusal::Method(_) => {
             kind.status = StatusCode::NOT_IMPLEMENTED;
-            kind.title = "the method is not served";
+            kind.title = "the method is not supported";
         }
         IntakeRefusal::BodyOversized => {
             kind = problem::refusal(verdict::RefusalReason::BodyTooLarge);
@@ -57,16 +57,16 @@
     kind
 }
 
-/// Reads the head of a request.
+/// Parses the head of a request into a call and its hints.
 pub fn read_head(
     head: &request::Parts,
-    mint: &parent::ParentMint,
+    issuer: &parent::TokenIssuer,
 ) -> Result<CallHead, IntakeRefusal> {
     if head.method == Method::CONNECT {
         return Err(IntakeRefusal::Method(head.method.clone()));
     }
     let service = service(head)?;
-    let hints = hints(&head.headers, mint)?;
+    let hints = hints(&head.headers, issuer)?;
     let request = call::CallRequest {
         service,
         method: head.method.as_str().to_owned(),
@@ -78,15 +78,15 @@
 }
 
 fn service(head: &request::Parts) -> Result<name::ServiceName, IntakeRefusal> {
-    let named = head.headers.get(header::SERVICE);
-    let text = match named {
+    let stated = head.headers.get(header::SERVICE);
+    let text = match stated {
         Some(value) => value.to_str().unwrap_or("?").to_owned(),
         None => host_label(head).ok_or(IntakeRefusal::ServiceMissing)?,
     };
     name::ServiceName::new(&text).map_err(|reason| IntakeRefusal::ServiceMalformed { text, reason })
 }
 
-/// The first label of the host; nothing where the host is an address.
+/// The first label of the host; none if the host is an IP address.
 fn host_label(head: &request::Parts) -> Option<String> {
     let host = head.headers.get(names::HOST);
     let authority: uri::Authority = match head.uri.authority() {
@@ -111,7 +111,7 @@
 
 fn hints(
     headers: &HeaderMap,
-    mint: &parent::ParentMint,
+    issuer: &parent::TokenIssuer,
 ) -> Result<event::CallerHints, IntakeRefusal> {
     let request = hint(headers, header::REQUEST_ID, "32 hex digits", request_id)?;
     let timeout = hint(headers, header::TIMEOUT, "milliseconds above zero", timeout)?;
@@ -120,7 +120,7 @@
         None => None,
     };
     let parent = match headers.get(header::PARENT) {
-        Some(value) => Some(parent(value, mint)?),
+        Some(value) => Some(parent(value, issuer)?),
         None => None,
     };
     let keys = headers.get_all(header::ACCOUNT_KEY).iter();
@@ -168,7 +168,7 @@
 }
 
 fn key(value: &[u8]) -> Result<Bytes, IntakeRefusal> {
-    if value.is_empty() || value.len() > KEY_LIMIT {
+    if value.is_empty() || value.len() > MAX_KEY_BYTES {
         return Err(IntakeRefusal::HintMalformed {
             header: header::KEY,
             expected: "a key of 1 to 256 bytes",
@@ -179,9 +179,9 @@
 
 fn parent(
     value: &http::HeaderValue,
-    mint: &parent::ParentMint,
+    issuer: &parent::TokenIssuer,
 ) -> Result<event::ParentToken, IntakeRefusal> {
     let text = value.to_str().ok();
-    text.and_then(|text| mint.check(text))
+    text.and_then(|text| issuer.verify(text))
         .ok_or(IntakeRefusal::ParentForged)
 }
--- a/crates/anvil_node/src/peer.rs
+++ b/crates/anvil_node/src/peer.rs
@@ -1,8 +1,8 @@
-//! The edge towards other nodes: one TCP connection per pair carries multiplexed frames.
+//! The peer edge: one TCP connection per pair of nodes carries multiplexed frames.
 
 pub mod accept;
 pub mod handshake;
 pub mod link;
-pub mod pulse;
+pub mod liveness;
 pub mod stream;
 pub mod table;
