--- a/crates/anvil_edge/src/caller.rs
+++ b/crates/anvil_edge/src/caller.rs
@@ -24,10 +24,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, Display)]
 pub enum IntakeRefusal {
     /// The method can't be supported, because requests are forwarded only as a whole.
-    #[display("the method {_0} is not supported")]
+    #[display("the method {_0} is not served")]
     Method(Method),
     /// No header names a service.
-    #[display("name the service in the header anvil-service or as the first label of Host")]
+    #[display("name the service by the header anvil-service or as the first label of Host")]
     ServiceMissing,
     /// The name of the service is malformed.
     #[display("the service {text:?} is malformed: {reason}")]
@@ -49,13 +49,13 @@
     #[display("the header anvil-parent holds no token of this node")]
     ParentForged,
     /// The body is longer than [`codec::MAX_BODY_BYTES`].
-    #[display("the body is longer than {} bytes", codec::MAX_BODY_BYTES)]
+    #[display("the body is above {} bytes", codec::MAX_BODY_BYTES)]
     BodyOversized,
     /// The body did not arrive in time.
     #[display("the body did not arrive in time")]
     BodySlow,
     /// The body is incomplete, or its chunked encoding is malformed.
-    #[display("the body is incomplete or its chunked encoding is malformed")]
+    #[display("the body broke off or its chunks are malformed")]
     BodyMalformed,
 }
 
--- a/crates/anvil_node/src/admin/server.rs
+++ b/crates/anvil_node/src/admin/server.rs
@@ -51,7 +51,7 @@
     fn respond(&self, request: &Request) -> Response {
         if !self.is_authorised(request) {
             self.counters.count(counters::EdgeCause::OperatorRefused);
-            return problem(401, "a valid bearer token is required");
+            return problem(401, "a bearer token is needed");
         }
         let path = request.url();
         match (request.method(), path.as_str()) {
@@ -64,7 +64,7 @@
             ("POST", "/explain") => self.explain(request),
             ("PUT", "/target") => self.announce(request),
             ("DELETE", "/target") => self.send_event(event::NodeEvent::TargetLeaving),
-            _ => problem(404, "no such address; see docs/OPERATIONS.md"),
+            _ => problem(404, "there is nothing here; see docs/OPERATIONS.md"),
         }
     }
 
@@ -181,10 +181,10 @@
     };
     let read = data.take(MAX_BODY_BYTES + 1).read_to_end(&mut bytes);
     if read.is_err() {
-        return Err(problem(400, "the body is incomplete"));
+        return Err(problem(400, "the body broke off"));
     }
     if bytes.len() as u64 > MAX_BODY_BYTES {
-        return Err(problem(413, "the body is larger than 4 MiB"));
+        return Err(problem(413, "the body is above 4 MiB"));
     }
     Ok(bytes)
 }
--- a/crates/anvil_node/src/caller/native.rs
+++ b/crates/anvil_node/src/caller/native.rs
@@ -43,7 +43,7 @@
     match refusal {
         IntakeRefusal::Method(_) => {
             kind.status = StatusCode::NOT_IMPLEMENTED;
-            kind.title = "the method is not supported";
+            kind.title = "the method is not served";
         }
         IntakeRefusal::BodyOversized => {
             kind = problem::refusal(verdict::RefusalReason::BodyTooLarge);
--- a/crates/anvil_node/src/caller/problem.rs
+++ b/crates/anvil_node/src/caller/problem.rs
@@ -85,43 +85,34 @@
 fn refusal_status(reason: verdict::RefusalReason) -> (StatusCode, &'static str) {
     use verdict::RefusalReason as Reason;
     match reason {
-        Reason::NoTarget => (busy(), "no target of the service is available"),
-        Reason::UnknownService => (StatusCode::NOT_FOUND, "the service was never announced"),
-        Reason::Shed => (busy(), "the service is overloaded"),
+        Reason::NoTarget => (busy(), "no target of the service is serving"),
+        Reason::UnknownService => (StatusCode::NOT_FOUND, "nobody ever announced the service"),
+        Reason::Shed => (busy(), "the service is under pressure"),
         Reason::TargetRefused => (busy(), "the target refused the request"),
         Reason::QueueFull => (busy(), "the queue of the target is full"),
         Reason::Deadline => (late(), "the deadline passed before the request was sent"),
-        Reason::Leaving => (busy(), "the node or its target is shutting down"),
-        Reason::AttemptsSpent => (busy(), "the retries of the whole call chain are used up"),
+        Reason::Leaving => (busy(), "the node or its target is leaving"),
+        Reason::AttemptsSpent => (busy(), "the retries of the whole chain are spent"),
         Reason::Quarantined => (busy(), "the request is suspected of crashing targets"),
         Reason::BodyTooLarge => (StatusCode::PAYLOAD_TOO_LARGE, "the body is too large"),
-        Reason::KeyUnavailable => (busy(), "the owner of the idempotency key is unavailable"),
+        Reason::KeyUnavailable => (busy(), "no node can vouch for the idempotency key"),
         Reason::KeyMismatch => (
             StatusCode::UNPROCESSABLE_ENTITY,
             "the idempotency key was used for another request",
         ),
         Reason::Cancelled => (busy(), "the parent request ended"),
-        Reason::Unreachable => (busy(), "no connection to a target could be opened"),
-        Reason::RulesUnknown => (busy(), "the node has not received the rules yet"),
-        Reason::NotFound => (
-            StatusCode::NOT_FOUND,
-            "a rule answers the path with not found",
-        ),
+        Reason::Unreachable => (busy(), "no connection to a target came about"),
+        Reason::RulesUnknown => (busy(), "the node has not learned the rules yet"),
+        Reason::NotFound => (StatusCode::NOT_FOUND, "a rule says that nothing is here"),
         Reason::Rule => (StatusCode::FORBIDDEN, "a rule refuses the request"),
         Reason::Malformed => (StatusCode::BAD_REQUEST, "the request is malformed"),
-        Reason::Unauthenticated => (
-            StatusCode::UNAUTHORIZED,
-            "the key belongs to no client account",
-        ),
+        Reason::Unauthenticated => (StatusCode::UNAUTHORIZED, "no client account holds the key"),
         Reason::OverQuota => (
             StatusCode::TOO_MANY_REQUESTS,
             "the quota of the client account is used up",
         ),
-        Reason::AccountUnknown => (busy(), "the client account of the target's call is unknown"),
-        Reason::OutOfTurn => (
-            busy(),
-            "earlier requests of the connection are not answered yet",
-        ),
+        Reason::AccountUnknown => (busy(), "nobody knows for which account the target calls"),
+        Reason::OutOfTurn => (busy(), "requests in front of it are not answered yet"),
     }
 }
 
@@ -129,16 +120,13 @@
     use verdict::UncertaintyReason as Reason;
     match reason {
         Reason::ConnectionLost => (broken(), "the connection to the target broke"),
-        Reason::Deadline => (late(), "the deadline passed while the request was running"),
-        Reason::AnswerCut => (broken(), "the target's answer was incomplete"),
-        Reason::NodeLost => (broken(), "the node that ran the request has stopped"),
+        Reason::Deadline => (late(), "the deadline passed while the request was out"),
+        Reason::AnswerCut => (broken(), "the target broke off in its answer"),
+        Reason::NodeLost => (broken(), "the node that ran the request is gone"),
         Reason::RecordLost => (broken(), "the record of the idempotency key is lost"),
         Reason::Cancelled => (broken(), "the parent request ended"),
         Reason::Stopped => (broken(), "the node was stopped by force"),
-        Reason::InProgress => (
-            StatusCode::CONFLICT,
-            "a request with the same key is running",
-        ),
+        Reason::InProgress => (StatusCode::CONFLICT, "the same key is running now"),
     }
 }
 
--- a/crates/anvil_node/src/control.rs
+++ b/crates/anvil_node/src/control.rs
@@ -91,7 +91,7 @@
         let limited = Limited::new(body, MAX_BODY_BYTES).collect();
         let collected = tokio::time::timeout(BODY_TIMEOUT, limited).await;
         let Ok(Ok(collected)) = collected else {
-            let reason = "the body is too large, incomplete or late".to_owned();
+            let reason = "the body is too large, broke off or did not come".to_owned();
             return Err(control::ControlRefusal::Malformed { reason });
         };
         let body = collected.to_bytes();
