--- a/crates/anvil_types/src/ident.rs
+++ b/crates/anvil_types/src/ident.rs
@@ -84,7 +84,7 @@
     RequestLabel
 }
 opaque_text! {
-    /// Identifies one run of a target process, in the target's own words; a process that restarts
+    /// Identifies one run of a target process, as named by the target; a process that restarts
     /// at the same address has another id.
     IncarnationId
 }
--- a/crates/anvil_wire/src/seal/handshake.rs
+++ b/crates/anvil_wire/src/seal/handshake.rs
@@ -1,7 +1,7 @@
 //! The handshake in which both ends of a new connection prove that they hold a key.
 //!
 //! The initiator sends a hello with a fresh nonce; the responder answers with its own nonce and a
-//! tag over both; the initiator proves its identity with a tag over the whole exchange. Each tag
+//! tag over both; the initiator authenticates itself with a tag over the whole exchange. Each tag
 //! covers the role of its sender, so a message can't be reflected to its sender. Both ends then
 //! derive one key per direction; see [`super::stream`].
 //!
