--- a/crates/anvil_node/src/dialect.rs
+++ b/crates/anvil_node/src/dialect.rs
@@ -63,8 +63,8 @@
         counters: &counters::EdgeCounters,
     ) -> Self {
         let counters = platform_store::StoreCounters {
-            unreadable: counters.counter(counters::EdgeCause::StoreItemUnreadable),
-            eras: counters.counter(counters::EdgeCause::StoreEraChanged),
+            unreadable_items: counters.counter(counters::EdgeCause::StoreItemUnreadable),
+            era_changes: counters.counter(counters::EdgeCause::StoreEraChanged),
         };
         let store = settings.platform.first().copied();
         let store =
