--- a/crates/anvil_ctl/benches/story.rs
+++ b/crates/anvil_ctl/benches/story.rs
@@ -1,4 +1,4 @@
-//! The story of one request out of a million lines; see docs/MEASUREMENTS.md.
+//! Reconstruction of one request from a million log lines; see docs/MEASUREMENTS.md.
 
 use std::fs;
 use std::io::{self, Write};
@@ -6,14 +6,14 @@
 
 use anvil_ctl::{arguments, command};
 
-/// Lines of the logs, of some 400 bytes each.
+/// Number of log lines, of about 400 bytes each.
 const LINES: u64 = 1_000_000;
 
 fn main() {
     divan::main();
 }
 
-/// Writes lines of as many requests, each of which is refused at its entry node.
+/// Writes one line for each of [`LINES`] requests that are refused at their entry nodes.
 fn write_logs(path: &Path) -> io::Result<()> {
     let mut file = io::BufWriter::new(fs::File::create(path)?);
     for number in 0..LINES {
--- a/crates/anvil_ctl/src/apply.rs
+++ b/crates/anvil_ctl/src/apply.rs
@@ -9,21 +9,21 @@
 
 use crate::{arguments, node, outcome, rule_file, wait};
 
-/// Pause between two looks for a change whose answer was lost.
-const RESOLVE_PAUSE: Duration = Duration::from_millis(250);
+/// Interval between checks for a change whose answer was lost.
+const RESOLVE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What became of a change.
+/// The outcome of sending a change.
 #[derive(Debug)]
-enum ChangeFate {
-    /// It is accepted and makes this revision.
+enum ChangeOutcome {
+    /// It was accepted as this revision.
     Accepted(ident::RuleRevision),
-    /// It was not made.
+    /// It was certainly not applied.
     Refused(outcome::CtlFailure),
-    /// Nobody told.
+    /// It may or may not have been applied, for this reason.
     Unknown(String),
 }
 
-/// Checks a file, sends it, and finds out what became of it.
+/// Checks a rule file, sends it, and resolves the outcome if the answer is lost.
 pub fn apply(
     arguments: &arguments::ApplyArguments,
 ) -> Result<outcome::CtlReport, outcome::CtlFailure> {
@@ -31,80 +31,82 @@
     let client = node::NodeClient::new(&arguments.node)?;
     let newest = client.get("/rules")?.accepted()?.revision;
     let base = arguments.base.or_else(|| file.base()).or(newest);
-    let asked = node::ChangeRequest {
+    let request = node::ChangeRequest {
         text: &file.text,
         change: arguments.change.unwrap_or_else(|| Uuid::new_v4().as_u128()),
         base: base.unwrap_or_default(),
         author: &arguments.author,
     };
-    let fate = match send(&client, &asked, arguments) {
-        ChangeFate::Unknown(reason) => resolve(&client, asked.change, reason, arguments),
+    let outcome = match send(&client, &request, arguments) {
+        ChangeOutcome::Unknown(reason) => resolve(&client, request.change, reason, arguments),
         known => known,
     };
-    match fate {
-        ChangeFate::Accepted(revision) => {
+    match outcome {
+        ChangeOutcome::Accepted(revision) => {
             let mut report = accepted(&client, revision, arguments);
             report.err.insert_str(0, &file.warnings());
             Ok(report)
         }
-        ChangeFate::Refused(failure) => Err(failure),
-        ChangeFate::Unknown(reason) => Err(unknown(&reason, asked.change, arguments)),
+        ChangeOutcome::Refused(failure) => Err(failure),
+        ChangeOutcome::Unknown(reason) => Err(unknown(&reason, request.change, arguments)),
     }
 }
 
 fn send(
     client: &node::NodeClient,
-    asked: &node::ChangeRequest<'_>,
+    request: &node::ChangeRequest<'_>,
     arguments: &arguments::ApplyArguments,
-) -> ChangeFate {
-    let answer = match client.post_rules(asked) {
+) -> ChangeOutcome {
+    let answer = match client.post_rules(request) {
         Ok(answer) => answer,
-        Err(node::AskError::Lost { .. }) => {
-            return ChangeFate::Unknown("the node's answer was lost".to_owned());
+        Err(node::RequestError::Lost { .. }) => {
+            return ChangeOutcome::Unknown("the node's answer was lost".to_owned());
         }
-        Err(unreachable) => return ChangeFate::Refused(unreachable.into()),
+        Err(unreachable) => return ChangeOutcome::Refused(unreachable.into()),
     };
     let json = answer.json();
     match answer.status {
         200 => match json["revision"].as_u64() {
-            Some(revision) => ChangeFate::Accepted(ident::RuleRevision(revision)),
-            None => ChangeFate::Unknown("the node told no revision".to_owned()),
+            Some(revision) => ChangeOutcome::Accepted(ident::RuleRevision(revision)),
+            None => ChangeOutcome::Unknown("the node's answer has no revision".to_owned()),
         },
-        409 => ChangeFate::Refused(conflict(&json)),
-        422 if json["faults"].is_array() => ChangeFate::Refused(faults(&json, arguments)),
-        503 if json["outcome"] == "not-applied" => ChangeFate::Refused(not_applied(&answer)),
-        500..=599 => ChangeFate::Unknown(answer.detail()),
-        _ => ChangeFate::Refused(answer.refused()),
+        409 => ChangeOutcome::Refused(conflict(&json)),
+        422 if json["faults"].is_array() => ChangeOutcome::Refused(faults(&json, arguments)),
+        503 if json["outcome"] == "not-applied" => ChangeOutcome::Refused(not_applied(&answer)),
+        500..=599 => ChangeOutcome::Unknown(answer.detail()),
+        _ => ChangeOutcome::Refused(answer.refused()),
     }
 }
 
-/// Looks for a change whose answer was lost by its own id, as long as a question may take.
+/// Polls the history for a change whose answer was lost, until the request timeout has passed.
 ///
-/// Sending it again blindly could undo a change that was accepted in between.
+/// Resending the change without this check could undo another change that was accepted in between.
 fn resolve(
     client: &node::NodeClient,
     change: u128,
     reason: String,
     arguments: &arguments::ApplyArguments,
-) -> ChangeFate {
-    let end = Instant::now() + arguments.node.timeout;
+) -> ChangeOutcome {
+    let deadline = Instant::now() + arguments.node.timeout;
     loop {
-        let held = client.get("/rules/history");
-        let found = held.ok().and_then(|held| find_change(&held.json(), change));
+        let history = client.get("/rules/history");
+        let found = history
+            .ok()
+            .and_then(|history| find_change(&history.json(), change));
         if let Some(revision) = found {
-            return ChangeFate::Accepted(revision);
+            return ChangeOutcome::Accepted(revision);
         }
-        if Instant::now() >= end {
-            return ChangeFate::Unknown(reason);
+        if Instant::now() >= deadline {
+            return ChangeOutcome::Unknown(reason);
         }
-        thread::sleep(RESOLVE_PAUSE);
+        thread::sleep(RESOLVE_INTERVAL);
     }
 }
 
 fn find_change(history: &Value, change: u128) -> Option<ident::RuleRevision> {
     let changes = history["changes"].as_array()?;
-    let found = changes.iter().find(|held| {
-        let id = held["change"].as_str();
+    let found = changes.iter().find(|entry| {
+        let id = entry["change"].as_str();
         id.and_then(|id| u128::from_str_radix(id, 16).ok()) == Some(change)
     });
     found?["revision"].as_u64().map(ident::RuleRevision)
@@ -172,8 +174,8 @@
 ) -> outcome::CtlFailure {
     let file = arguments.file.display();
     let report = eyre::eyre!(
-        "{reason}, and the change is not in the node's history yet: it may still be made\n\
-         look with `anvilctl rules history`, or repeat it safely with \
+        "{reason}, and the change is not in the node's history yet: it may still be applied\n\
+         check with `anvilctl rules history`, or repeat it safely with \
          `anvilctl apply {file} --change {change:032x}`"
     );
     outcome::CtlFailure::new(outcome::ExitStatus::Unknown, report)
--- a/crates/anvil_ctl/src/arguments.rs
+++ b/crates/anvil_ctl/src/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Parsing of the command line.
 
 use std::ffi::OsString;
 use std::path::PathBuf;
@@ -11,14 +11,14 @@
 
 use crate::{help, outcome};
 
-/// Longest wait for a node's answer where `--timeout` is left out. A node itself waits up to ten
-/// seconds for its reducer and the store, and its answer is worth more than a guess.
-const TIMEOUT: Duration = Duration::from_secs(15);
+/// Default of `--timeout`. A node itself waits up to ten seconds for its reducer and the store; a
+/// shorter timeout would lose its answer.
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Longest wait for all nodes where `--wait-limit` is left out.
-const WAIT_LIMIT: Duration = Duration::from_secs(60);
+/// Default of `--wait-limit`.
+const DEFAULT_WAIT_LIMIT: Duration = Duration::from_secs(60);
 
-/// What the process's surroundings say.
+/// The environment variables that the command uses.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CtlEnvironment {
     /// `ANVIL_NODE`.
@@ -40,84 +40,84 @@
     }
 }
 
-/// A command line, read.
+/// A parsed command line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CtlCommand {
     /// Show help.
     Help(help::HelpTopic),
     /// Check files.
     Check {
-        /// Which.
+        /// Paths of the rule files.
         files: Vec<PathBuf>,
     },
-    /// Put a file in force.
+    /// Apply a rule file.
     Apply(Box<ApplyArguments>),
-    /// Show something of a node.
+    /// Show part of a node's state.
     Show {
-        /// What.
+        /// The part to show.
         what: ShowTopic,
-        /// Which node, and how.
+        /// The node and how to reach it.
         node: NodeArguments,
     },
     /// Explain a request.
     Explain(Box<ExplainArguments>),
-    /// Tell what became of a request.
+    /// Reconstruct a request from logs.
     Story(StoryArguments),
 }
 
-/// Which request is followed, and through which logs.
+/// The request to reconstruct, and the logs to read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoryArguments {
-    /// The caller's id of the request, or the root request's.
+    /// The caller's id of the request, or the root request's id.
     pub request: String,
-    /// Files and folders; `-` is the standard input.
+    /// Log files and folders; `-` is the standard input.
     pub logs: Vec<PathBuf>,
 }
 
-/// What of a node is shown.
+/// The part of a node's state to show.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShowTopic {
     /// The rules in force.
     Rules,
-    /// The changes held.
+    /// The rule changes that the node retains.
     History,
-    /// The fleet in short.
+    /// A summary of the fleet.
     Status,
-    /// Everything.
+    /// The node's complete state.
     Dump,
 }
 
-/// Which node is asked, and how.
+/// The node to use, and how to reach it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NodeArguments {
-    /// The admin endpoint.
+    /// URL of the node's admin endpoint.
     pub url: String,
-    /// The file that holds the token.
+    /// The file that contains the admin token.
     pub token_file: Option<PathBuf>,
-    /// Longest wait for one answer.
+    /// Timeout of each request.
     pub timeout: Duration,
-    /// Whether JSON is printed as it came.
+    /// Whether the node's JSON is printed unchanged.
     pub json: bool,
 }
 
-/// How a file is put in force.
+/// Arguments of `apply`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ApplyArguments {
-    /// The file.
+    /// The rule file.
     pub file: PathBuf,
-    /// Longest wait for all nodes, where waited for.
+    /// Longest wait for all nodes, if `--wait` is given.
     pub wait: Option<Duration>,
-    /// The revision that the file was made from.
+    /// The revision that the file is based on.
     pub base: Option<ident::RuleRevision>,
-    /// The change's id; a new one where none is given.
+    /// The change's id; if none is given, a new one is generated.
     pub change: Option<u128>,
-    /// Who makes it.
+    /// The author of the change.
     pub author: String,
-    /// Which node.
+    /// The node that gets the change.
     pub node: NodeArguments,
 }
 
-/// What is explained.
+/// Arguments of `explain`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ExplainArguments {
     /// The request's method.
@@ -126,44 +126,44 @@
     pub url: String,
     /// The request's headers.
     pub headers: Vec<(String, String)>,
-    /// Who decides.
+    /// The rules that decide.
     pub by: ExplainSource,
-    /// Whether JSON is printed.
+    /// Whether the explanation is printed as JSON.
     pub json: bool,
 }
 
-/// Whose rules decide an explained request.
+/// The source of the rules for `explain`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ExplainSource {
-    /// A file.
+    /// A rule file.
     File(PathBuf),
-    /// A node.
+    /// The rules in force at a node.
     Node(NodeArguments),
 }
 
-/// Reads the command line, without the program's name.
-pub fn read(
-    line: Vec<OsString>,
+/// Parses the command line, without the program's name.
+pub fn parse(
+    words: Vec<OsString>,
     environment: &CtlEnvironment,
 ) -> Result<CtlCommand, outcome::CtlFailure> {
-    let reader = ArgumentReader {
-        arguments: Arguments::from_vec(line),
+    let parser = ArgumentParser {
+        arguments: Arguments::from_vec(words),
         environment,
     };
-    reader.command().map_err(outcome::CtlFailure::usage)
+    parser.command().map_err(outcome::CtlFailure::usage)
 }
 
-struct ArgumentReader<'a> {
+struct ArgumentParser<'a> {
     arguments: Arguments,
     environment: &'a CtlEnvironment,
 }
 
-impl ArgumentReader<'_> {
+impl ArgumentParser<'_> {
     fn command(mut self) -> eyre::Result<CtlCommand> {
-        let helped = self.arguments.contains(["-h", "--help"]);
+        let wants_help = self.arguments.contains(["-h", "--help"]);
         let name = self.arguments.subcommand()?;
         let topic = match name.as_deref() {
-            None if helped => help::HelpTopic::Overview,
+            None if wants_help => help::HelpTopic::Overview,
             None => bail!("a command is needed; see anvilctl --help"),
             Some("help") => return Ok(CtlCommand::Help(help::HelpTopic::Overview)),
             Some("check") => help::HelpTopic::Check,
@@ -173,9 +173,9 @@
             Some("dump") => help::HelpTopic::Dump,
             Some("explain") => help::HelpTopic::Explain,
             Some("story") => help::HelpTopic::Story,
-            Some(other) => bail!("there is no command {other:?}; see anvilctl --help"),
+            Some(other) => bail!("unknown command {other:?}; see anvilctl --help"),
         };
-        if helped {
+        if wants_help {
             return Ok(CtlCommand::Help(topic));
         }
         match topic {
@@ -201,15 +201,15 @@
         }
     }
 
-    /// The files that the rest of the line names; a lone dash is the standard input.
+    /// The remaining arguments as files; `-` is the standard input.
     fn files(self) -> eyre::Result<Vec<PathBuf>> {
         let files: Vec<PathBuf> = self.arguments.finish().iter().map(PathBuf::from).collect();
-        let option = |file: &&PathBuf| {
+        let is_option = |file: &&PathBuf| {
             let name = file.to_string_lossy();
             name.starts_with('-') && name != "-"
         };
-        match files.iter().find(option) {
-            Some(option) => bail!("there is no option {}", option.display()),
+        match files.iter().find(is_option) {
+            Some(option) => bail!("unknown option {}", option.display()),
             None => Ok(files),
         }
     }
@@ -224,9 +224,9 @@
 
     fn apply(mut self) -> eyre::Result<CtlCommand> {
         let waits = self.arguments.contains("--wait");
-        let limit = self.span("--wait-limit")?.unwrap_or(WAIT_LIMIT);
+        let limit = self.duration("--wait-limit")?.unwrap_or(DEFAULT_WAIT_LIMIT);
         let base: Option<u64> = self.arguments.opt_value_from_str("--base")?;
-        let change = self.arguments.opt_value_from_fn("--change", read_change)?;
+        let change = self.arguments.opt_value_from_fn("--change", parse_change)?;
         let author: Option<String> = self.arguments.opt_value_from_str("--author")?;
         let author = author.or_else(|| self.environment.user.clone());
         let node = self.node()?;
@@ -259,7 +259,7 @@
     fn explain(mut self) -> eyre::Result<CtlCommand> {
         let headers = self
             .arguments
-            .values_from_fn(["-H", "--header"], read_header)?;
+            .values_from_fn(["-H", "--header"], parse_header)?;
         let file: Option<String> = self.arguments.opt_value_from_str("--rules")?;
         let (by, json) = match file {
             Some(file) => {
@@ -269,7 +269,7 @@
             None => {
                 let node = self
                     .node()
-                    .wrap_err("without --rules FILE, a node is asked")?;
+                    .wrap_err("without --rules FILE, the rules of a node are used")?;
                 let json = node.json;
                 (ExplainSource::Node(node), json)
             }
@@ -299,20 +299,20 @@
         Ok(NodeArguments {
             url: url.trim_end_matches('/').to_owned(),
             token_file: token_file.or_else(|| self.environment.token_file.clone()),
-            timeout: self.span("--timeout")?.unwrap_or(TIMEOUT),
+            timeout: self.duration("--timeout")?.unwrap_or(DEFAULT_TIMEOUT),
             json: self.arguments.contains("--json"),
         })
     }
 
-    fn span(&mut self, name: &'static str) -> eyre::Result<Option<Duration>> {
-        Ok(self.arguments.opt_value_from_fn(name, read_span)?)
+    fn duration(&mut self, name: &'static str) -> eyre::Result<Option<Duration>> {
+        Ok(self.arguments.opt_value_from_fn(name, parse_duration)?)
     }
 
     fn free_path(&mut self) -> eyre::Result<PathBuf> {
         let text: Option<String> = self.arguments.opt_free_from_str()?;
         let text = text.ok_or_else(|| eyre!("a rule file is needed; see anvilctl apply --help"))?;
         if text.starts_with('-') {
-            bail!("there is no option {text}");
+            bail!("unknown option {text}");
         }
         Ok(PathBuf::from(text))
     }
@@ -321,21 +321,21 @@
         let rest = self.arguments.finish();
         match rest.first() {
             None => Ok(command),
-            Some(first) => bail!("{first:?} is one argument too many"),
+            Some(first) => bail!("unexpected argument {first:?}"),
         }
     }
 }
 
-fn read_span(text: &str) -> Result<Duration, String> {
-    let span = duration::parse(text).filter(|span| !span.is_zero());
-    span.ok_or_else(|| "a duration such as 500ms or 30s is expected".to_owned())
+fn parse_duration(text: &str) -> Result<Duration, String> {
+    let duration = duration::parse(text).filter(|duration| !duration.is_zero());
+    duration.ok_or_else(|| "a duration such as 500ms or 30s is expected".to_owned())
 }
 
-fn read_change(text: &str) -> Result<u128, String> {
+fn parse_change(text: &str) -> Result<u128, String> {
     u128::from_str_radix(text, 16).map_err(|_| "up to 32 hex digits are expected".to_owned())
 }
 
-fn read_header(text: &str) -> Result<(String, String), String> {
+fn parse_header(text: &str) -> Result<(String, String), String> {
     let (name, value) = text
         .split_once(':')
         .ok_or_else(|| "a header such as 'x-kind: claim' is expected".to_owned())?;
--- a/crates/anvil_ctl/src/check.rs
+++ b/crates/anvil_ctl/src/check.rs
@@ -4,7 +4,7 @@
 
 use crate::{outcome, rule_file};
 
-/// Checks all files and tells about each; the worst of them decides the exit status.
+/// Checks all files and reports on each; the worst result decides the exit status.
 pub fn check(files: &[PathBuf]) -> Result<outcome::CtlReport, outcome::CtlFailure> {
     let mut report = outcome::CtlReport::done(String::new());
     for path in files {
@@ -15,11 +15,11 @@
                 let name = path.display();
                 report
                     .out
-                    .push_str(&format!("{name}: {count} rules, right\n"));
+                    .push_str(&format!("{name}: {count} rules, valid\n"));
             }
             Err(failure) => {
-                let worse = failure.status.code() > report.status.code();
-                if worse {
+                let is_worse = failure.status.code() > report.status.code();
+                if is_worse {
                     report.status = failure.status;
                 }
                 report.err.push_str(&outcome::CtlReport::from(failure).err);
--- a/crates/anvil_ctl/src/command.rs
+++ b/crates/anvil_ctl/src/command.rs
@@ -1,16 +1,16 @@
-//! From a command line to its report.
+//! Runs a command line and returns its report.
 
 use std::ffi::OsString;
 
 use crate::{apply, arguments, check, explain, outcome, show, story};
 
-/// Does what the command line asks for; `line` comes without the program's name.
-pub fn run(line: Vec<OsString>, environment: &arguments::CtlEnvironment) -> outcome::CtlReport {
-    let done = arguments::read(line, environment).and_then(carry_out);
-    done.unwrap_or_else(outcome::CtlReport::from)
+/// Runs a command line, given without the program's name.
+pub fn run(words: Vec<OsString>, environment: &arguments::CtlEnvironment) -> outcome::CtlReport {
+    let report = arguments::parse(words, environment).and_then(execute);
+    report.unwrap_or_else(outcome::CtlReport::from)
 }
 
-fn carry_out(command: arguments::CtlCommand) -> Result<outcome::CtlReport, outcome::CtlFailure> {
+fn execute(command: arguments::CtlCommand) -> Result<outcome::CtlReport, outcome::CtlFailure> {
     match command {
         arguments::CtlCommand::Help(topic) => Ok(outcome::CtlReport::done(topic.to_string())),
         arguments::CtlCommand::Check { files } => check::check(&files),
--- a/crates/anvil_ctl/src/explain.rs
+++ b/crates/anvil_ctl/src/explain.rs
@@ -9,17 +9,17 @@
 
 use crate::{arguments, node, outcome, render, rule_file};
 
-/// The header that rules with a host compare.
-const HOST: &str = "host";
+/// The header that rules with a host match.
+const HOST_HEADER: &str = "host";
 
-/// The header by which a caller names the service.
-const SERVICE: &str = "anvil-service";
+/// The header in which a caller names the service.
+const SERVICE_HEADER: &str = "anvil-service";
 
-/// Tells which rule decides a request, by a file or by a node.
+/// Explains which rule decides a request, by a rule file or by a node's rules.
 pub fn explain(
     arguments: &arguments::ExplainArguments,
 ) -> Result<outcome::CtlReport, outcome::CtlFailure> {
-    let request = read_request(arguments).map_err(outcome::CtlFailure::usage)?;
+    let request = build_request(arguments).map_err(outcome::CtlFailure::usage)?;
     let json = match &arguments.by {
         arguments::ExplainSource::File(path) => {
             let file = rule_file::RuleFile::read(path)?;
@@ -27,7 +27,7 @@
             let explanation = explain::explain(&matcher, &view::RequestView::of(&request));
             json!({ "service": request.service, "rule": explanation })
         }
-        arguments::ExplainSource::Node(node) => ask(node, &request)?,
+        arguments::ExplainSource::Node(node) => explain_at_node(node, &request)?,
     };
     if arguments.json {
         return Ok(outcome::CtlReport::done(format!("{json}\n")));
@@ -35,7 +35,7 @@
     Ok(outcome::CtlReport::done(render::tree(&json)))
 }
 
-fn ask(
+fn explain_at_node(
     arguments: &arguments::NodeArguments,
     request: &call::CallRequest,
 ) -> Result<Value, outcome::CtlFailure> {
@@ -54,11 +54,11 @@
     Ok(client.post_json("/explain", &body)?.accepted()?.json())
 }
 
-fn read_request(arguments: &arguments::ExplainArguments) -> eyre::Result<call::CallRequest> {
+fn build_request(arguments: &arguments::ExplainArguments) -> eyre::Result<call::CallRequest> {
     let url: Uri = arguments
         .url
         .parse()
-        .wrap_err_with(|| format!("{:?} is no URL", arguments.url))?;
+        .wrap_err_with(|| format!("{:?} is not a URL", arguments.url))?;
     let path = url.path_and_query().map_or("/", |path| path.as_str());
     let headers = arguments
         .headers
@@ -67,17 +67,17 @@
             name: name.clone(),
             value: value.clone().into(),
         });
-    let mut lines: Vec<_> = headers.filter(|line| line.name != SERVICE).collect();
-    if !lines.iter().any(|line| line.name == HOST) {
-        // A caller's library sets it from the URL, and rules may speak of it.
+    let mut lines: Vec<_> = headers.filter(|line| line.name != SERVICE_HEADER).collect();
+    if !lines.iter().any(|line| line.name == HOST_HEADER) {
+        // HTTP clients set this header from the URL, and rules may match it.
         let host = url.authority().map(|authority| call::HeaderLine {
-            name: HOST.to_owned(),
+            name: HOST_HEADER.to_owned(),
             value: authority.as_str().to_owned().into(),
         });
         lines.extend(host);
     }
     Ok(call::CallRequest {
-        service: read_service(&url, &arguments.headers)?,
+        service: service_of(&url, &arguments.headers)?,
         method: arguments.method.clone(),
         path: path.to_owned(),
         headers: lines,
@@ -85,12 +85,12 @@
     })
 }
 
-fn read_service(url: &Uri, headers: &[(String, String)]) -> eyre::Result<name::ServiceName> {
-    let named = headers.iter().find(|(name, _)| name == SERVICE);
+fn service_of(url: &Uri, headers: &[(String, String)]) -> eyre::Result<name::ServiceName> {
+    let named = headers.iter().find(|(name, _)| name == SERVICE_HEADER);
     let label = url.host().and_then(|host| host.split('.').next());
     let text = named.map(|(_, value)| value.as_str()).or(label);
     let text = text.ok_or_else(|| {
         eyre!("name the service by the URL's host, such as http://mesa-entradas/claims")
     })?;
-    name::ServiceName::new(text).wrap_err_with(|| format!("{text:?} is no service"))
+    name::ServiceName::new(text).wrap_err_with(|| format!("{text:?} is not a service name"))
 }
--- a/crates/anvil_ctl/src/lib.rs
+++ b/crates/anvil_ctl/src/lib.rs
@@ -1,7 +1,7 @@
-//! The operators' command: checks rule files, sends them to a node, and shows what a node knows.
+//! The operators' command: checks rule files, sends them to a node, and shows a node's state.
 //!
-//! Everything but the process itself is a function of its arguments, so that tests call it
-//! without starting one. See `docs/ANVILCTL.md`.
+//! Everything except the process itself is a function of its arguments, so that tests can call it
+//! without starting a process. See `docs/ANVILCTL.md`.
 
 pub mod apply;
 pub mod arguments;
--- a/crates/anvil_ctl/src/logs.rs
+++ b/crates/anvil_ctl/src/logs.rs
@@ -1,4 +1,4 @@
-//! The nodes' structured logs, read as the platform keeps them.
+//! Reading of the nodes' structured logs in the forms in which the platform stores them.
 
 pub mod line;
 pub mod source;
--- a/crates/anvil_ctl/src/logs/line.rs
+++ b/crates/anvil_ctl/src/logs/line.rs
@@ -1,17 +1,17 @@
-//! One line of a node's log, as far as the story of a request needs it.
+//! The fields of a node's log lines that reconstructing a request needs.
 
 use serde::Deserialize;
 
-/// One line, read.
+/// One parsed line.
 #[derive(Clone, Debug, Deserialize)]
 pub struct LogLine {
     /// The writer's time of day, in seconds since the Unix epoch.
     pub time: f64,
-    /// What it tells.
+    /// Its content.
     pub facts: LogFacts,
 }
 
-/// What a line tells, by its field `event`.
+/// The content of a line, by its field `event`.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(tag = "event", rename_all = "kebab-case")]
 pub enum LogFacts {
@@ -19,42 +19,42 @@
     CallEnded(CallEnd),
     /// A run, or the wait for one, ended at the target's node.
     RunEnded(RunEnd),
-    /// Anything else.
+    /// Any other event.
     #[serde(other)]
     Other,
 }
 
 /// The rule that decided.
 #[derive(Clone, Debug, Deserialize)]
-pub struct RuleMark {
+pub struct RuleReference {
     /// The revision of the rules.
     pub revision: u64,
-    /// The rule's place among them.
+    /// The rule's index among them.
     pub index: u64,
 }
 
 /// The end of a call at its entry node.
 #[derive(Clone, Debug, Deserialize)]
 pub struct CallEnd {
-    /// The caller's own id; calls made for a request carry its id, a dot and more.
+    /// The caller's own id. Calls made on behalf of a request have its id, a dot and a suffix.
     pub request: Option<String>,
     /// The root request.
     pub root: String,
-    /// The service asked for.
+    /// The called service.
     pub service: String,
-    /// Importance.
+    /// Priority class.
     pub class: String,
     /// Lane.
     pub lane: u16,
     /// The rule that decided.
-    pub rule: RuleMark,
-    /// Whether it ran, in words.
+    pub rule: RuleReference,
+    /// The verdict as text.
     pub verdict: String,
-    /// The target's status, where it answered.
+    /// The target's status, if it answered.
     pub status: Option<u16>,
-    /// Attempts dispatched.
+    /// Number of attempts sent.
     pub attempts: u16,
-    /// Nodes that the attempts went to.
+    /// Nodes that the attempts were sent to.
     #[serde(default)]
     pub nodes: Vec<String>,
     /// The limit that refused the last attempt.
@@ -62,11 +62,11 @@
     pub refused: serde_json::Value,
     /// The node that the limit belongs to.
     pub refused_by: Option<String>,
-    /// Time since the call came, in milliseconds.
+    /// Time since the call arrived, in milliseconds.
     pub took_ms: u64,
-    /// Time that was left, in milliseconds.
+    /// Time left until the deadline, in milliseconds.
     pub left_ms: u64,
-    /// When the caller was told to come back, in milliseconds.
+    /// Retry delay that the caller was told, in milliseconds.
     pub retry_after_ms: Option<u64>,
 }
 
@@ -79,24 +79,24 @@
     pub root: String,
     /// The entry node.
     pub entry: String,
-    /// The attempt of the entry node.
+    /// The number of the entry node's attempt.
     pub attempt: u16,
-    /// Whether it ran, in words.
+    /// The verdict as text.
     pub verdict: String,
-    /// The target's status, where it answered.
+    /// The target's status, if it answered.
     pub status: Option<u16>,
     /// Time in the queue, in milliseconds.
     pub queued_ms: u64,
-    /// Time at the target, in milliseconds; none where it never started.
+    /// Time at the target, in milliseconds; none if the run never started.
     pub ran_ms: Option<u64>,
     /// Requests running at the target at the end.
     pub running: u32,
-    /// Requests that waited at the end.
+    /// Requests in the queue at the end.
     pub queued: u64,
 }
 
 impl LogFacts {
-    /// The caller's id and the root request, of a line about one request.
+    /// The caller's id and the root request, if the line is about one request.
     pub fn ids(&self) -> Option<(Option<&str>, &str)> {
         match self {
             Self::CallEnded(call) => Some((call.request.as_deref(), &call.root)),
@@ -106,7 +106,7 @@
     }
 }
 
-/// Whether a verdict and a status stand for a whole answer.
-pub fn is_fine(verdict: &str, status: Option<u16>) -> bool {
+/// Whether a verdict and a status mean a successful answer.
+pub fn is_success(verdict: &str, status: Option<u16>) -> bool {
     verdict == "answered" && status.is_some_and(|status| status < 500)
 }
--- a/crates/anvil_ctl/src/logs/source.rs
+++ b/crates/anvil_ctl/src/logs/source.rs
@@ -1,4 +1,4 @@
-//! Where logs are read from: files, folders of files, either of them gzipped, and the standard input.
+//! Sources of logs: files, which may be gzipped, folders of files, and the standard input.
 
 use std::fs;
 use std::io::{self, BufRead, Read, Seek};
@@ -6,10 +6,10 @@
 
 use eyre::{WrapErr, eyre};
 
-/// Bytes read at once.
+/// Size of the read buffer.
 const BUFFER_BYTES: usize = 256 * 1024;
 
-/// Names the standard input on the command line.
+/// The name of the standard input on the command line.
 const STANDARD_INPUT: &str = "-";
 
 /// Logs that can be read more than once.
@@ -18,7 +18,7 @@
     inputs: Vec<LogInput>,
 }
 
-/// One file, and the name that its lines go by where they name no node themselves.
+/// One file, and the node name of lines that name no node themselves.
 #[derive(Debug)]
 struct LogInput {
     name: String,
@@ -29,26 +29,26 @@
 enum InputBody {
     Plain(PathBuf),
     Gzip(PathBuf),
-    /// The standard input, kept in a file that has no name: it can be read only once, and the lines of a
-    /// request may stand before the one that names it.
+    /// The standard input, copied to an unnamed temporary file. It can be read only once, but two
+    /// passes are needed, since lines of a request may precede the one that names it.
     Spooled(fs::File),
 }
 
-/// One line with its place.
+/// One line with its position.
 #[derive(Clone, Copy, Debug)]
-pub struct PlacedLine<'a> {
-    /// The file, or the standard input.
+pub struct SourceLine<'a> {
+    /// The name of the input.
     pub input: &'a str,
-    /// Counted from one.
+    /// Line number, counted from one.
     pub number: u64,
-    /// The node that wrote it, as the line or else the file names it.
+    /// The node that wrote it, named by the line or else by the file.
     pub node: &'a str,
-    /// The JSON object; where there is none, the whole line.
+    /// The JSON object, or the whole line if there is none.
     pub json: &'a [u8],
 }
 
 impl LogSource {
-    /// Finds the files behind `paths`; a folder stands for the files in it.
+    /// Opens `paths`; a folder stands for the files in it.
     pub fn open(paths: &[PathBuf]) -> eyre::Result<Self> {
         let mut inputs = Vec::new();
         for path in paths {
@@ -62,19 +62,19 @@
             }
         }
         if inputs.is_empty() {
-            return Err(eyre!("there are no files in the folders named"));
+            return Err(eyre!("the given folders contain no files"));
         }
         Ok(Self { inputs })
     }
 
-    /// Hands every line to `take`, file after file.
-    pub fn each_line<Take>(&self, mut take: Take) -> eyre::Result<()>
+    /// Passes every line to `visit`, file after file.
+    pub fn each_line<Visit>(&self, mut visit: Visit) -> eyre::Result<()>
     where
-        Take: FnMut(PlacedLine<'_>),
+        Visit: FnMut(SourceLine<'_>),
     {
         for input in &self.inputs {
             input
-                .each_line(&mut take)
+                .each_line(&mut visit)
                 .wrap_err_with(|| input.name.clone())?;
         }
         Ok(())
@@ -84,12 +84,12 @@
 impl LogInput {
     fn of(path: PathBuf) -> Self {
         let gzipped = path.extension().is_some_and(|extension| extension == "gz");
-        let bare = if gzipped {
+        let uncompressed = if gzipped {
             path.with_extension("")
         } else {
             path.clone()
         };
-        let stem = bare.file_stem().map(|stem| stem.to_string_lossy());
+        let stem = uncompressed.file_stem().map(|stem| stem.to_string_lossy());
         Self {
             name: stem.unwrap_or_default().into_owned(),
             body: if gzipped {
@@ -114,9 +114,9 @@
         })
     }
 
-    fn each_line<Take>(&self, take: &mut Take) -> io::Result<()>
+    fn each_line<Visit>(&self, visit: &mut Visit) -> io::Result<()>
     where
-        Take: FnMut(PlacedLine<'_>),
+        Visit: FnMut(SourceLine<'_>),
     {
         let mut reader = io::BufReader::with_capacity(BUFFER_BYTES, self.reader()?);
         let mut line = Vec::new();
@@ -127,27 +127,29 @@
                 return Ok(());
             }
             number += 1;
-            take(self.placed(number, line.trim_ascii()));
+            visit(self.locate(number, line.trim_ascii()));
         }
     }
 
-    /// Tells the words before the JSON object from it; the last of them names the node.
-    fn placed<'a>(&'a self, number: u64, line: &'a [u8]) -> PlacedLine<'a> {
+    /// Splits a line into the words before the JSON object, of which the last names the node, and
+    /// the object.
+    fn locate<'a>(&'a self, number: u64, line: &'a [u8]) -> SourceLine<'a> {
         let start = memchr::memchr(b'{', line).unwrap_or(0);
         let words = std::str::from_utf8(&line[..start]).unwrap_or_default();
-        let named = words.split_whitespace().next_back();
-        PlacedLine {
+        let name = words.split_whitespace().next_back();
+        SourceLine {
             input: &self.name,
             number,
-            node: named.unwrap_or(&self.name),
+            node: name.unwrap_or(&self.name),
             json: &line[start..],
         }
     }
 }
 
 fn spool() -> eyre::Result<LogInput> {
-    let mut file = tempfile::tempfile().wrap_err("no file for the standard input")?;
-    io::copy(&mut io::stdin().lock(), &mut file).wrap_err("the standard input")?;
+    let mut file =
+        tempfile::tempfile().wrap_err("can't create a temporary file for the standard input")?;
+    io::copy(&mut io::stdin().lock(), &mut file).wrap_err("can't read the standard input")?;
     Ok(LogInput {
         name: "standard-input".to_owned(),
         body: InputBody::Spooled(file),
--- a/crates/anvil_ctl/src/node.rs
+++ b/crates/anvil_ctl/src/node.rs
@@ -1,4 +1,4 @@
-//! Asking a node.
+//! HTTP client of a node's admin endpoint.
 
 use std::fs;
 use std::path::Path;
@@ -12,20 +12,20 @@
 
 use crate::{arguments, outcome};
 
-/// The header that names a change.
-pub const CHANGE: &str = "anvil-change";
+/// The header with the id of a change.
+pub const CHANGE_HEADER: &str = "anvil-change";
 
-/// The header that names the revision a change was made from.
-pub const BASE: &str = "anvil-base";
+/// The header with the revision that a change is based on.
+pub const BASE_HEADER: &str = "anvil-base";
 
-/// The header that names who makes a change.
-pub const AUTHOR: &str = "anvil-author";
+/// The header with the author of a change.
+pub const AUTHOR_HEADER: &str = "anvil-author";
 
-/// The header that names the revision in force.
-pub const REVISION: &str = "anvil-revision";
+/// The header with the revision in force.
+pub const REVISION_HEADER: &str = "anvil-revision";
 
-/// Longest wait for a connection; a node that lives takes one at once.
-const CONNECT_LIMIT: Duration = Duration::from_secs(5);
+/// Longest wait for a connection, which a running node accepts at once.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// A node's admin endpoint.
 #[derive(Clone, Debug)]
@@ -35,55 +35,55 @@
     timeout: Duration,
 }
 
-/// What a node answered.
+/// An answer of a node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NodeAnswer {
     /// HTTP status.
     pub status: u16,
-    /// The revision in force, where the node told it.
+    /// The revision in force, if the answer has one.
     pub revision: Option<ident::RuleRevision>,
     /// The body.
     pub text: String,
 }
 
-/// Why there is no answer.
+/// Why a request got no answer.
 #[derive(Debug, Display, Error)]
-pub enum AskError {
-    /// No connection came about, so the node heard nothing.
+pub enum RequestError {
+    /// The connection was refused, so the node did not receive the request.
     #[display("no connection to {url}: {error}")]
     Unreachable {
-        /// The node.
+        /// URL of the node.
         url: String,
-        /// Why.
+        /// The cause.
         #[error(not(source))]
         error: attohttpc::Error,
     },
-    /// The connection broke, so the node may have done what was asked.
+    /// The connection failed later, so the node may have carried out the request.
     #[display("the answer of {url} was lost: {error}")]
     Lost {
-        /// The node.
+        /// URL of the node.
         url: String,
-        /// Why.
+        /// The cause.
         #[error(not(source))]
         error: attohttpc::Error,
     },
 }
 
-/// A change of the rules to send.
+/// A change of the rules.
 #[derive(Clone, Copy, Debug)]
 pub struct ChangeRequest<'a> {
-    /// The rules.
+    /// The rules as YAML.
     pub text: &'a str,
     /// The change's id.
     pub change: u128,
-    /// The revision it was made from.
+    /// The revision it is based on.
     pub base: ident::RuleRevision,
-    /// Who makes it.
+    /// Its author.
     pub author: &'a str,
 }
 
 impl NodeClient {
-    /// Reads the token, where there is one; asks nothing yet.
+    /// Creates a client and reads the token file, if there is one; sends no request.
     pub fn new(arguments: &arguments::NodeArguments) -> Result<Self, outcome::CtlFailure> {
         let token = arguments.token_file.as_deref().map(read_token);
         Ok(Self {
@@ -93,68 +93,68 @@
         })
     }
 
-    /// Asks for `path`.
-    pub fn get(&self, path: &str) -> Result<NodeAnswer, AskError> {
+    /// Gets `path`.
+    pub fn get(&self, path: &str) -> Result<NodeAnswer, RequestError> {
         let request = attohttpc::get(format!("{}{path}", self.url));
         self.send(request, "")
     }
 
     /// Sends JSON to `path`.
-    pub fn post_json(&self, path: &str, body: &Value) -> Result<NodeAnswer, AskError> {
+    pub fn post_json(&self, path: &str, body: &Value) -> Result<NodeAnswer, RequestError> {
         let request = attohttpc::post(format!("{}{path}", self.url));
         let request = request.header("content-type", "application/json");
         self.send(request, &body.to_string())
     }
 
     /// Sends a change of the rules.
-    pub fn post_rules(&self, asked: &ChangeRequest<'_>) -> Result<NodeAnswer, AskError> {
+    pub fn post_rules(&self, change: &ChangeRequest<'_>) -> Result<NodeAnswer, RequestError> {
         let request = attohttpc::post(format!("{}/rules", self.url))
             .header("content-type", "application/yaml")
-            .header(CHANGE, format!("{:032x}", asked.change))
-            .header(BASE, asked.base.to_string())
-            .header(AUTHOR, printable(asked.author));
-        self.send(request, asked.text)
+            .header(CHANGE_HEADER, format!("{:032x}", change.change))
+            .header(BASE_HEADER, change.base.to_string())
+            .header(AUTHOR_HEADER, printable(change.author));
+        self.send(request, change.text)
     }
 
-    fn send(&self, request: RequestBuilder, body: &str) -> Result<NodeAnswer, AskError> {
+    fn send(&self, request: RequestBuilder, body: &str) -> Result<NodeAnswer, RequestError> {
         let request = match &self.token {
             Some(token) => request.bearer_auth(token.as_str()),
             None => request,
         };
         let request = request
             .timeout(self.timeout)
-            .connect_timeout(CONNECT_LIMIT.min(self.timeout))
+            .connect_timeout(CONNECT_TIMEOUT.min(self.timeout))
             .follow_redirects(false)
-            // A node is reached directly; a proxy of the operator's shell would see the token.
+            // A proxy that is set in the operator's shell would see the token.
             .proxy_settings(attohttpc::ProxySettings::builder().build())
             .text(body);
-        let response = request.send().map_err(|error| self.failed(error))?;
-        let revision = response.headers().get(REVISION);
+        let response = request.send().map_err(|error| self.classify(error))?;
+        let revision = response.headers().get(REVISION_HEADER);
         let revision = revision.and_then(|value| value.to_str().ok()?.parse().ok());
         Ok(NodeAnswer {
             status: response.status().as_u16(),
             revision: revision.map(ident::RuleRevision),
-            text: response.text().map_err(|error| self.failed(error))?,
+            text: response.text().map_err(|error| self.classify(error))?,
         })
     }
 
-    /// Only a refused connection proves that the node heard nothing; every other fault may have
-    /// come after it did.
-    fn failed(&self, error: attohttpc::Error) -> AskError {
+    /// Only a refused connection proves that the node did not receive the request; any other error
+    /// may have occurred after it did.
+    fn classify(&self, error: attohttpc::Error) -> RequestError {
         let url = self.url.clone();
         let refused = matches!(
             error.kind(),
             attohttpc::ErrorKind::Io(error) if error.kind() == std::io::ErrorKind::ConnectionRefused
         );
         if refused {
-            return AskError::Unreachable { url, error };
+            return RequestError::Unreachable { url, error };
         }
-        AskError::Lost { url, error }
+        RequestError::Lost { url, error }
     }
 }
 
 impl NodeAnswer {
-    /// The answer where the node did what was asked; else a failure in the node's words.
+    /// Returns the answer if its status is 2xx, else a failure with the node's message.
     pub fn accepted(self) -> Result<Self, outcome::CtlFailure> {
         if (200..300).contains(&self.status) {
             return Ok(self);
@@ -162,30 +162,30 @@
         Err(self.refused())
     }
 
-    /// A failure in the node's words.
+    /// A failure with the node's message.
     pub fn refused(&self) -> outcome::CtlFailure {
         let report = match self.status {
-            401 => eyre::eyre!("the node wants a token: name its file with --token-file"),
+            401 => eyre::eyre!("the node requires a token: give its file with --token-file"),
             status => eyre::eyre!("the node refused with {status}: {}", self.detail()),
         };
         outcome::CtlFailure::new(outcome::ExitStatus::Refused, report)
     }
 
-    /// The body as JSON; null where it is none.
+    /// The body as JSON, or null if it is not JSON.
     pub fn json(&self) -> Value {
         serde_json::from_str(&self.text).unwrap_or_default()
     }
 
-    /// What the node said about a refusal.
+    /// The node's message about a refusal.
     pub fn detail(&self) -> String {
         let json = self.json();
         json["detail"].as_str().unwrap_or(&self.text).to_owned()
     }
 }
 
-impl From<AskError> for outcome::CtlFailure {
-    /// For questions that change nothing: whether the node heard them makes no difference.
-    fn from(error: AskError) -> Self {
+impl From<RequestError> for outcome::CtlFailure {
+    /// For requests that change nothing, so that it does not matter whether the node received them.
+    fn from(error: RequestError) -> Self {
         let report = eyre::Report::new(error).wrap_err("the node can't be reached");
         Self::new(outcome::ExitStatus::Unreachable, report)
     }
@@ -197,7 +197,7 @@
     Ok(text.trim().to_owned())
 }
 
-/// A header takes visible ASCII only.
+/// Removes what a header value can't contain; only visible ASCII and spaces remain.
 fn printable(text: &str) -> String {
     let visible = |c: &char| c.is_ascii_graphic() || *c == ' ';
     text.chars().filter(visible).take(64).collect()
--- a/crates/anvil_ctl/src/outcome.rs
+++ b/crates/anvil_ctl/src/outcome.rs
@@ -1,4 +1,4 @@
-//! How a command ends.
+//! Exit status and output of a command.
 
 use derive_more::Display;
 
@@ -8,22 +8,22 @@
     /// Done.
     #[display("done")]
     Done,
-    /// Refused: wrong rules, a conflict, or a node that proved not to have done it.
+    /// Refused: invalid rules, a conflict, or a change that was certainly not applied.
     #[display("refused")]
     Refused,
-    /// The command line or a file named on it can't be used.
+    /// The command line or a file given on it can't be used.
     #[display("usage")]
     Usage,
     /// The node can't be reached; nothing was changed.
     #[display("unreachable")]
     Unreachable,
-    /// Nobody can tell yet whether the change was made.
+    /// It is not known whether the change was applied.
     #[display("unknown")]
     Unknown,
-    /// The change was accepted, but isn't in force everywhere yet.
+    /// The change was accepted but is not yet in force everywhere.
     #[display("lagging")]
     Lagging,
-    /// What was asked for isn't there.
+    /// The requested item was not found.
     #[display("absent")]
     Absent,
 }
@@ -43,19 +43,19 @@
     }
 }
 
-/// What a command leaves behind.
+/// The result of a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CtlReport {
-    /// For the standard output.
+    /// Text for the standard output.
     pub out: String,
-    /// For the standard error.
+    /// Text for the standard error.
     pub err: String,
     /// The exit status.
     pub status: ExitStatus,
 }
 
 impl CtlReport {
-    /// A command that did what was asked.
+    /// The report of a successful command.
     pub const fn done(out: String) -> Self {
         Self {
             out,
@@ -65,7 +65,7 @@
     }
 }
 
-/// Why a command didn't do what was asked, and what to do about it.
+/// Why a command failed, with advice to the operator.
 #[derive(Debug)]
 pub struct CtlFailure {
     /// The exit status.
@@ -75,12 +75,12 @@
 }
 
 impl CtlFailure {
-    /// A failure of this kind.
+    /// A failure with the given exit status.
     pub const fn new(status: ExitStatus, report: eyre::Report) -> Self {
         Self { status, report }
     }
 
-    /// A command line or file that can't be used.
+    /// A failure due to a command line or file that can't be used.
     pub const fn usage(report: eyre::Report) -> Self {
         Self::new(ExitStatus::Usage, report)
     }
--- a/crates/anvil_ctl/src/render.rs
+++ b/crates/anvil_ctl/src/render.rs
@@ -1,4 +1,4 @@
-//! JSON as people read it: maps as indented lines, lists of maps as tables.
+//! JSON in readable form: maps as indented lines, lists of maps as tables.
 
 use std::fmt::Write;
 
@@ -7,11 +7,11 @@
 /// Two spaces for each level.
 const INDENT: &str = "  ";
 
-/// Columns that say what a row is about; they stand in front.
-const LEADING: [&str; 5] = ["revision", "name", "node", "service", "field"];
+/// Columns that identify a row, which come first.
+const LEADING_COLUMNS: [&str; 5] = ["revision", "name", "node", "service", "field"];
 
-/// What stands in a table where a row has no such field.
-const NOTHING: &str = "-";
+/// Placeholder for an empty or missing value.
+const PLACEHOLDER: &str = "-";
 
 /// Renders any JSON value; the text ends with a line break.
 pub fn tree(value: &Value) -> String {
@@ -60,7 +60,7 @@
     }
 }
 
-/// The maps of a list, where all are maps without further maps in them.
+/// The maps of a list, if every item is a map that fits in one table row.
 fn as_rows(items: &[Value]) -> Option<Vec<&Map<String, Value>>> {
     let rows: Option<Vec<_>> = items.iter().map(Value::as_object).collect();
     rows.filter(|rows| rows.iter().all(|row| !row.values().any(is_deep)))
@@ -84,7 +84,7 @@
     }
 }
 
-/// All columns of the rows, the leading ones in front.
+/// All columns of the rows, the leading ones first.
 fn columns_of<'a>(rows: &[&'a Map<String, Value>]) -> Vec<&'a str> {
     let mut columns: Vec<&str> = Vec::new();
     for name in rows.iter().flat_map(|row| row.keys()) {
@@ -92,13 +92,13 @@
             columns.push(name);
         }
     }
-    let place = |name: &&str| LEADING.iter().position(|leading| leading == name);
-    columns.sort_by_key(|name| place(name).unwrap_or(LEADING.len()));
+    let rank = |name: &&str| LEADING_COLUMNS.iter().position(|leading| leading == name);
+    columns.sort_by_key(|name| rank(name).unwrap_or(LEADING_COLUMNS.len()));
     columns
 }
 
 fn row_cells(row: &Map<String, Value>, columns: &[&str]) -> Vec<String> {
-    let cell = |name: &&str| row.get(*name).map_or_else(|| NOTHING.to_owned(), plain);
+    let cell = |name: &&str| row.get(*name).map_or_else(|| PLACEHOLDER.to_owned(), plain);
     columns.iter().map(cell).collect()
 }
 
@@ -110,14 +110,14 @@
 /// A value on one line.
 fn plain(value: &Value) -> String {
     match value {
-        Value::Null => NOTHING.to_owned(),
+        Value::Null => PLACEHOLDER.to_owned(),
         Value::String(text) => text.clone(),
-        Value::Array(items) if items.is_empty() => NOTHING.to_owned(),
+        Value::Array(items) if items.is_empty() => PLACEHOLDER.to_owned(),
         Value::Array(items) => {
             let items: Vec<String> = items.iter().map(plain).collect();
             items.join(", ")
         }
-        Value::Object(fields) if fields.is_empty() => NOTHING.to_owned(),
+        Value::Object(fields) if fields.is_empty() => PLACEHOLDER.to_owned(),
         Value::Object(fields) => {
             let fields = fields.iter();
             let fields: Vec<String> = fields
@@ -144,6 +144,6 @@
 
 fn line(out: &mut String, depth: usize, text: &str) {
     let indent = INDENT.repeat(depth);
-    // Writing into memory has no way to fail.
+    // Writing to a string can't fail.
     let _ = writeln!(out, "{indent}{text}");
 }
--- a/crates/anvil_ctl/src/rule_file.rs
+++ b/crates/anvil_ctl/src/rule_file.rs
@@ -1,4 +1,4 @@
-//! Rule files on the operator's side.
+//! Rule files that an operator edits.
 
 use std::fs;
 use std::path::Path;
@@ -9,40 +9,40 @@
 
 use crate::outcome;
 
-/// What the first line of a file begins with that `rules show` wrote.
-pub const REVISION_MARK: &str = "# revision: ";
+/// Prefix of the first line of a file written by `rules show`, followed by the revision.
+pub const REVISION_PREFIX: &str = "# revision: ";
 
 /// A file that passed all checks.
 #[derive(Debug)]
 pub struct RuleFile {
-    /// The text as it stands in the file.
+    /// The unchanged text of the file.
     pub text: String,
     /// The rules.
     pub rules: parse::CheckedRules,
 }
 
 impl RuleFile {
-    /// Reads and checks `path`; wrong rules are refused with all their faults.
+    /// Reads and checks `path`; invalid rules are refused with all their faults.
     pub fn read(path: &Path) -> Result<Self, outcome::CtlFailure> {
         let name = path.display().to_string();
         let text = fs::read_to_string(path)
             .wrap_err_with(|| format!("{name} can't be read"))
             .map_err(outcome::CtlFailure::usage)?;
         let rules = parse::check_rules(&name, &text).map_err(|faults| {
-            let report = eyre::eyre!("the rules are wrong\n{faults}");
+            let report = eyre::eyre!("the rules are invalid\n{faults}");
             outcome::CtlFailure::new(outcome::ExitStatus::Refused, report)
         })?;
         Ok(Self { text, rules })
     }
 
-    /// The revision that the file was made from, where its first line tells.
+    /// The revision that the file is based on, if its first line names it.
     pub fn base(&self) -> Option<ident::RuleRevision> {
         let first = self.text.lines().next()?;
-        let number = first.strip_prefix(REVISION_MARK)?.trim().parse().ok()?;
+        let number = first.strip_prefix(REVISION_PREFIX)?.trim().parse().ok()?;
         Some(ident::RuleRevision(number))
     }
 
-    /// A line for each unreachable rule.
+    /// Warnings about unreachable rules, a line each.
     pub fn warnings(&self) -> String {
         let lines = self.rules.warnings.iter();
         lines
--- a/crates/anvil_ctl/src/show.rs
+++ b/crates/anvil_ctl/src/show.rs
@@ -2,7 +2,7 @@
 
 use crate::{arguments, node, outcome, render, rule_file};
 
-/// Shows one thing of a node.
+/// Shows part of a node's state.
 pub fn show(
     what: arguments::ShowTopic,
     arguments: &arguments::NodeArguments,
@@ -23,11 +23,11 @@
     Ok(outcome::CtlReport::done(out))
 }
 
-/// The rules behind a line that names their revision, by which `apply` finds conflicts.
+/// The rules after a line with their revision, which lets `apply` detect conflicts.
 fn with_revision(answer: &node::NodeAnswer) -> String {
-    let mark = rule_file::REVISION_MARK;
+    let prefix = rule_file::REVISION_PREFIX;
     match answer.revision {
-        Some(revision) => format!("{mark}{revision}\n{}", answer.text),
+        Some(revision) => format!("{prefix}{revision}\n{}", answer.text),
         None => answer.text.clone(),
     }
 }
--- a/crates/anvil_ctl/src/story/telling.rs
+++ b/crates/anvil_ctl/src/story/timeline.rs
@@ -1,54 +1,57 @@
-//! The story in lines, in order of time.
+//! Renders a trace as lines in order of time.
 
 use crate::logs::line;
-use crate::story::{cause, trail};
+use crate::story::{cause, trace};
 
-/// All that the logs tell of the request; the last line is the cause in a sentence.
-pub(super) fn tell(trail: &trail::RequestTrail) -> String {
-    let begun = trail.steps.first().map_or(0.0, trail::TrailStep::begun);
-    let mut text = heading(trail, begun);
-    for step in &trail.steps {
-        let indent = "  ".repeat(step.depth());
-        let from = step.begun() - begun;
-        let until = step.time - begun;
-        let what = match &step.facts {
-            line::LogFacts::CallEnded(call) => tell_call(trail, call),
-            line::LogFacts::RunEnded(run) => tell_run(trail, run),
+/// Renders all entries of the request; the last line gives the cause.
+pub(super) fn render(trace: &trace::RequestTrace) -> String {
+    let started = trace
+        .entries
+        .first()
+        .map_or(0.0, trace::TraceEntry::started);
+    let mut text = heading(trace, started);
+    for entry in &trace.entries {
+        let indent = "  ".repeat(entry.depth());
+        let from = entry.started() - started;
+        let until = entry.time - started;
+        let what = match &entry.facts {
+            line::LogFacts::CallEnded(call) => describe_call(trace, call),
+            line::LogFacts::RunEnded(run) => describe_run(trace, run),
             line::LogFacts::Other => continue,
         };
-        let node = &step.node;
+        let node = &entry.node;
         text.push_str(&format!(
             "{from:8.3} to {until:7.3} s  {node:<24} {indent}{what}\n"
         ));
     }
-    for clock in &trail.clocks {
+    for clock in &trace.clocks {
         let step = clock.from - clock.to;
-        let at = clock.from - begun;
+        let at = clock.from - started;
         let node = &clock.node;
         text.push_str(&format!(
-            "the clock of {node} stepped back by {step:.3} s at {at:.3} s; its times may not fit the others'\n"
+            "the clock of {node} stepped back by {step:.3} s at {at:.3} s; its times may not match those of other nodes\n"
         ));
     }
-    text.push_str(&cause::sentence(trail));
+    text.push_str(&cause::sentence(trace));
     text.push('\n');
     text
 }
 
-fn heading(trail: &trail::RequestTrail, begun: f64) -> String {
-    let steps = trail.steps.len();
-    let mut nodes: Vec<_> = trail.steps.iter().map(|step| &step.node).collect();
+fn heading(trace: &trace::RequestTrace, started: f64) -> String {
+    let entries = trace.entries.len();
+    let mut nodes: Vec<_> = trace.entries.iter().map(|entry| &entry.node).collect();
     nodes.sort();
     nodes.dedup();
-    let roots = trail.steps.iter().filter_map(|step| step.facts.ids());
+    let roots = trace.entries.iter().filter_map(|entry| entry.facts.ids());
     let mut roots: Vec<_> = roots.map(|(_, root)| root).collect();
     roots.sort_unstable();
     roots.dedup();
     let nodes = nodes.len();
     let roots = roots.join(", ");
-    format!("root request {roots}: {steps} lines of {nodes} nodes, times from {begun:.3}\n")
+    format!("root request {roots}: {entries} lines of {nodes} nodes, times from {started:.3}\n")
 }
 
-fn tell_call(trail: &trail::RequestTrail, call: &line::CallEnd) -> String {
+fn describe_call(trace: &trace::RequestTrace, call: &line::CallEnd) -> String {
     let line::CallEnd {
         service,
         class,
@@ -57,25 +60,25 @@
         left_ms,
         ..
     } = call;
-    let line::RuleMark { revision, index } = &call.rule;
+    let line::RuleReference { revision, index } = &call.rule;
     let mut text = format!(
         "call to {service} ({class}, lane {lane}, rule {index} of revision {revision}): {}",
         end_of(&call.verdict, call.status)
     );
     text.push_str(", ");
-    text.push_str(&attempts_of(trail, call));
-    if let Some(limit) = limit_of(trail, call) {
+    text.push_str(&attempts_of(trace, call));
+    if let Some(limit) = limit_of(trace, call) {
         text.push_str(&format!(", refused by {limit}"));
     }
     text.push_str(&format!(", took {took_ms} ms, {left_ms} ms left"));
     if let Some(pause) = call.retry_after_ms {
-        text.push_str(&format!(", told to come back after {pause} ms"));
+        text.push_str(&format!(", told to retry after {pause} ms"));
     }
     text
 }
 
-fn tell_run(trail: &trail::RequestTrail, run: &line::RunEnd) -> String {
-    let entry = trail.name_of(&run.entry);
+fn describe_run(trace: &trace::RequestTrace, run: &line::RunEnd) -> String {
+    let entry = trace.name_of(&run.entry);
     let line::RunEnd {
         attempt,
         queued_ms,
@@ -102,29 +105,30 @@
     }
 }
 
-/// How often a call was sent, and where to as far as its line tells; a cancelled attempt's node is not told.
-pub(super) fn attempts_of(trail: &trail::RequestTrail, call: &line::CallEnd) -> String {
+/// The number of attempts of a call and their nodes. The line names no node for a cancelled
+/// attempt.
+pub(super) fn attempts_of(trace: &trace::RequestTrace, call: &line::CallEnd) -> String {
     let count = match call.attempts {
-        0 => return "sent nowhere".to_owned(),
+        0 => return "no attempt".to_owned(),
         1 => "one attempt".to_owned(),
         attempts => format!("{attempts} attempts"),
     };
     if call.nodes.is_empty() {
         return count;
     }
-    let nodes: Vec<_> = call.nodes.iter().map(|node| trail.name_of(node)).collect();
+    let nodes: Vec<_> = call.nodes.iter().map(|node| trace.name_of(node)).collect();
     format!("{count} at {}", nodes.join(", "))
 }
 
-/// The limit that refused a call's last attempt, and whose it was.
-pub(super) fn limit_of(trail: &trail::RequestTrail, call: &line::CallEnd) -> Option<String> {
+/// The limit that refused a call's last attempt, and the node that it belongs to.
+pub(super) fn limit_of(trace: &trace::RequestTrace, call: &line::CallEnd) -> Option<String> {
     let limit = match &call.refused {
         serde_json::Value::Null => return None,
         serde_json::Value::String(name) => name.clone(),
         other => other.to_string(),
     };
     Some(match &call.refused_by {
-        Some(node) => format!("{limit} of {}", trail.name_of(node)),
+        Some(node) => format!("{limit} of {}", trace.name_of(node)),
         None => limit,
     })
 }
--- a/crates/anvil_ctl/src/wait.rs
+++ b/crates/anvil_ctl/src/wait.rs
@@ -8,58 +8,58 @@
 
 use crate::{node, outcome};
 
-/// Pause between two looks at the fleet.
-const PAUSE: Duration = Duration::from_millis(250);
+/// Interval between two status requests.
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How far a revision has come, as one node sees it.
+/// The rollout of a revision, as one node sees it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct RolloutView {
     /// Nodes that have the revision or a newer one.
     in_force: u64,
-    /// Nodes alive.
+    /// Live nodes.
     members: u64,
-    /// Some of those that lag, with the revision last heard of them.
+    /// Some of the lagging nodes, with the last revision known of each.
     lagging: Vec<String>,
 }
 
-/// Asks the node until all nodes that it knows have `revision`, or names those that lag.
+/// Polls the node until all nodes that it knows have `revision`, or until `limit` has passed.
 pub fn wait(
     client: &node::NodeClient,
     revision: ident::RuleRevision,
     limit: Duration,
 ) -> outcome::CtlReport {
-    let end = Instant::now() + limit;
+    let deadline = Instant::now() + limit;
     let mut last = None;
     loop {
-        let seen = client.get("/status").ok().map(|answer| answer.json());
-        let seen = seen.and_then(|status| RolloutView::read(&status, revision));
-        if let Some(view) = seen.as_ref().filter(|view| view.in_force == view.members) {
+        let status = client.get("/status").ok().map(|answer| answer.json());
+        let view = status.and_then(|status| RolloutView::parse(&status, revision));
+        if let Some(view) = view.as_ref().filter(|view| view.in_force == view.members) {
             let out = format!("in force on all {} nodes\n", view.members);
             return outcome::CtlReport::done(out);
         }
-        last = seen.or(last);
-        if Instant::now() >= end {
+        last = view.or(last);
+        if Instant::now() >= deadline {
             return lagging(last.as_ref());
         }
-        thread::sleep(PAUSE);
+        thread::sleep(POLL_INTERVAL);
     }
 }
 
 impl RolloutView {
-    /// Reads a node's status; none where the node itself doesn't hold the revision yet, as its
-    /// count is then about an older one.
-    fn read(status: &Value, revision: ident::RuleRevision) -> Option<Self> {
+    /// Parses a node's status. Returns nothing if the node itself does not have the revision yet,
+    /// since its counts are then about an older one.
+    fn parse(status: &Value, revision: ident::RuleRevision) -> Option<Self> {
         let rules = &status["rules"];
-        let held = rules["revision"].as_u64()?;
+        let own_revision = rules["revision"].as_u64()?;
         let lagging = rules["lagging"].as_array().into_iter().flatten();
         let lagging = lagging.map(|node| {
             let name = node["node"].as_str().unwrap_or("?");
             match node["revision"].as_u64() {
                 Some(revision) => format!("{name} at revision {revision}"),
-                None => format!("{name}, not heard of"),
+                None => format!("{name}, revision unknown"),
             }
         });
-        (held >= revision.0).then_some(Self {
+        (own_revision >= revision.0).then_some(Self {
             in_force: rules["in_force"].as_u64()?,
             members: rules["members"].as_u64()?,
             lagging: lagging.collect(),
@@ -69,7 +69,7 @@
 
 fn lagging(view: Option<&RolloutView>) -> outcome::CtlReport {
     let err = match view {
-        None => "anvilctl: the node did not tell how far the revision has come\n".to_owned(),
+        None => "anvilctl: the node did not report the rollout of the revision\n".to_owned(),
         Some(view) => {
             let (in_force, members) = (view.in_force, view.members);
             let mut text =
@@ -77,7 +77,7 @@
             for node in &view.lagging {
                 text.push_str(&format!("  {node}\n"));
             }
-            text.push_str("look again with `anvilctl status`; the change stays accepted\n");
+            text.push_str("check again with `anvilctl status`; the change stays accepted\n");
             text
         }
     };
--- a/crates/anvil_ctl/tests/command_line.rs
+++ b/crates/anvil_ctl/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! Command lines that ask no node.
+//! Command lines that contact no node.
 
 #[allow(dead_code, reason = "other test files use the scripted node")]
 mod common;
@@ -35,24 +35,24 @@
 
 test_cases! { check_usage:
     no_command => ("--json", "a command is needed; see anvilctl --help"),
-    unknown_command => ("aply x", "there is no command \"aply\"; see anvilctl --help"),
+    unknown_command => ("aply x", "unknown command \"aply\"; see anvilctl --help"),
     no_file => ("check", "a rule file is needed; see anvilctl check --help"),
-    unknown_option => ("check --fast a.yaml", "there is no option --fast"),
+    unknown_option => ("check --fast a.yaml", "unknown option --fast"),
     no_node => ("status", "name a node with --node URL or $ANVIL_NODE"),
     node_without_scheme => (
         "status --node 10.0.0.1:7070",
         "--node 10.0.0.1:7070: a node's admin endpoint begins with http://"
     ),
-    too_many => ("status --node http://x y", "\"y\" is one argument too many"),
-    wrong_span => (
+    unexpected_argument => ("status --node http://x y", "unexpected argument \"y\""),
+    invalid_duration => (
         "status --node http://x --timeout 5",
         "failed to parse '5': a duration such as 500ms or 30s is expected"
     ),
-    rules_of_nothing => (
+    rules_without_subcommand => (
         "rules --node http://x",
         "rules takes show or history; see anvilctl rules --help"
     ),
-    wrong_header => (
+    invalid_header => (
         "explain GET http://a/ -H nothing --rules r.yaml",
         "failed to parse 'nothing': a header such as 'x-kind: claim' is expected"
     ),
@@ -60,7 +60,7 @@
         "explain GET --rules r.yaml",
         "a method and a URL are needed; see anvilctl explain --help"
     ),
-    wrong_change => (
+    invalid_change => (
         "apply a.yaml --node http://x --change zz",
         "failed to parse 'zz': up to 32 hex digits are expected"
     ),
@@ -71,27 +71,27 @@
     let reclamo = common::repository_file("examples/reclamo-simple/rules.yaml");
     let marche = common::repository_file("examples/marche-armor/rules.yaml");
     let report = common::run(&format!("check {reclamo} {marche}"));
-    let expected = format!("{reclamo}: 6 rules, right\n{marche}: 8 rules, right\n");
+    let expected = format!("{reclamo}: 6 rules, valid\n{marche}: 8 rules, valid\n");
     assert_eq!((report.out, report.err), (expected, String::new()));
     assert_eq!(report.status.code(), 0);
 }
 
 #[test]
-fn tells_the_faults_of_one_file_and_checks_the_other() {
-    let wrong = common::written("wrong.yaml", "rules:\n- {name: a, then: {retries: 99}}\n");
-    let right = common::written("right.yaml", "rules: []\n");
+fn reports_the_faults_of_one_file_and_checks_the_other() {
+    let wrong = common::write_file("wrong.yaml", "rules:\n- {name: a, then: {retries: 99}}\n");
+    let right = common::write_file("right.yaml", "rules: []\n");
     let report = common::run(&format!("check {wrong} {right}"));
     assert_eq!(report.status.code(), 1);
-    assert_eq!(report.out, format!("{right}: 0 rules, right\n"));
+    assert_eq!(report.out, format!("{right}: 0 rules, valid\n"));
     let fault = format!("{wrong}:2:29: rules[0].then.retries: 99 is outside 0 to 32");
-    let expected = format!("anvilctl: the rules are wrong\n{fault}\n");
+    let expected = format!("anvilctl: the rules are invalid\n{fault}\n");
     assert_eq!(report.err, expected);
 }
 
 #[test]
 fn warns_of_unreachable_rules() {
     let text = "rules:\n- {name: all, then: {}}\n- {name: late, then: {}}\n";
-    let file = common::written("shadow.yaml", text);
+    let file = common::write_file("shadow.yaml", text);
     let report = common::run(&format!("check {file}"));
     assert_eq!(report.status.code(), 0);
     let expected = format!(
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_missing_file_is_told() {
+fn a_missing_file_is_reported() {
     let report = common::run("check /nowhere/rules.yaml");
     assert_eq!(report.status.code(), 2);
     let expected = "anvilctl: /nowhere/rules.yaml can't be read: No such file or directory";
@@ -143,9 +143,9 @@
 }
 
 #[test]
-fn explains_which_part_differs() {
+fn explains_which_part_of_a_rule_differs() {
     let text = "rules:\n- {name: a, when: {headers: {x-kind: claim}}, then: {}}\n";
-    let file = common::written("headers.yaml", text);
+    let file = common::write_file("headers.yaml", text);
     let line = format!("explain POST http://mesa/claims -H x-kind:claims --rules {file} --json");
     let report = common::run(&line);
     assert!(
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn the_header_names_the_service_before_the_host() {
+fn the_service_header_overrides_the_host() {
     let file = common::repository_file("examples/marche-armor/rules.yaml");
     let line = format!("explain POST http://10.0.0.1/bids -H anvil-service:bidding --rules {file}");
     let report = common::run(&line);
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn every_command_on_the_pages_is_understood() {
+fn every_command_in_the_documentation_is_parsed() {
     let pages = ["docs/ANVILCTL.md", "docs/RULES.md"];
     let pages = pages.map(|page| {
         let path = common::repository_file(page);
@@ -183,8 +183,8 @@
     assert!(lines.len() >= 10, "{lines:?}");
     for line in lines {
         let words = line.split(' ').map(std::ffi::OsString::from).collect();
-        let read = arguments::read(words, &common::environment());
-        assert!(read.is_ok(), "{line}: {read:?}");
+        let parsed = arguments::parse(words, &common::environment());
+        assert!(parsed.is_ok(), "{line}: {parsed:?}");
     }
 }
 
@@ -201,13 +201,13 @@
 }
 
 test_cases! { check_process:
-    the_process_tells_success => ("--help", 0, "Usage: anvilctl", ""),
-    the_process_tells_faults => (
-        &format!("check {}", common::written("list.yaml", "[]")), 1, "",
+    the_process_reports_success => ("--help", 0, "Usage: anvilctl", ""),
+    the_process_reports_faults => (
+        &format!("check {}", common::write_file("list.yaml", "[]")), 1, "",
         "document: expected a map, found a list"
     ),
-    the_process_tells_misuse => ("status", 2, "", "name a node with --node URL"),
-    the_process_tells_an_unreachable_node => (
+    the_process_reports_misuse => ("status", 2, "", "name a node with --node URL"),
+    the_process_reports_an_unreachable_node => (
         "status --node http://127.0.0.1:1", 3, "", "the node can't be reached"
     ),
 }
--- a/crates/anvil_ctl/tests/common/mod.rs
+++ b/crates/anvil_ctl/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A scripted node, and files for the commands to read.
+//! A node with scripted answers, and input files for commands.
 
 use std::ffi::OsString;
 use std::path::PathBuf;
@@ -9,7 +9,7 @@
 use anvil_ctl::{arguments, command, outcome};
 use rouille::{Request, Response, Server};
 
-/// What the scripted node answers to one method and path, again and again.
+/// The scripted node's answer to every request with one method and path.
 #[derive(Clone, Debug)]
 pub(crate) struct ScriptedAnswer {
     pub(crate) method: &'static str,
@@ -33,10 +33,10 @@
     }
 }
 
-/// A node that answers by script and remembers the headers it was sent.
+/// A node that gives scripted answers and records the requests that it receives.
 pub(crate) struct ScriptedNode {
     pub(crate) url: String,
-    seen: Arc<Mutex<Vec<String>>>,
+    received: Arc<Mutex<Vec<String>>>,
     stop: mpsc::Sender<()>,
     thread: Option<thread::JoinHandle<()>>,
 }
@@ -44,10 +44,10 @@
 impl ScriptedNode {
     /// Serves on a free port; the revision in force is 7.
     pub(crate) fn start(script: Vec<ScriptedAnswer>) -> Self {
-        let seen = Arc::new(Mutex::new(Vec::new()));
-        let noted = Arc::clone(&seen);
+        let received = Arc::new(Mutex::new(Vec::new()));
+        let record = Arc::clone(&received);
         let server = Server::new("127.0.0.1:0", move |request| {
-            noted.lock().expect("no panic").push(note(request));
+            record.lock().expect("no panic").push(summary(request));
             reply(&script, request)
         });
         let server = server.expect("a free port");
@@ -55,15 +55,15 @@
         let (thread, stop) = server.stoppable();
         Self {
             url,
-            seen,
+            received,
             stop,
             thread: Some(thread),
         }
     }
 
-    /// Method, path and the headers that start with `anvil-` or name a token, of each request.
-    pub(crate) fn seen(&self) -> Vec<String> {
-        self.seen.lock().expect("no panic").clone()
+    /// Method, path, `anvil-` headers and `authorization` header of each request received.
+    pub(crate) fn received(&self) -> Vec<String> {
+        self.received.lock().expect("no panic").clone()
     }
 }
 
@@ -76,7 +76,7 @@
     }
 }
 
-fn note(request: &Request) -> String {
+fn summary(request: &Request) -> String {
     let headers = request.headers().filter(|(name, _)| {
         let name = name.to_ascii_lowercase();
         name.starts_with("anvil-") || name == "authorization"
@@ -89,10 +89,10 @@
 }
 
 fn reply(script: &[ScriptedAnswer], request: &Request) -> Response {
-    let wanted = |answer: &&ScriptedAnswer| {
+    let matches = |answer: &&ScriptedAnswer| {
         answer.method == request.method() && answer.path == request.url()
     };
-    match script.iter().find(wanted) {
+    match script.iter().find(matches) {
         Some(answer) => Response::text(answer.body.clone())
             .with_status_code(answer.status)
             .with_unique_header("anvil-revision", "7"),
@@ -114,23 +114,23 @@
     command::run(words, &environment())
 }
 
-/// A file of the repository.
+/// The path of a file in the repository.
 #[allow(dead_code, reason = "only some test files read it")]
 pub(crate) fn repository_file(path: &str) -> String {
     let root = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../..");
     root.join(path).display().to_string()
 }
 
-/// A file of this run with the given text.
-pub(crate) fn written(name: &str, text: &str) -> String {
-    // Tests run side by side, so each file gets a directory of its own.
+/// Writes a temporary file and returns its path.
+pub(crate) fn write_file(name: &str, text: &str) -> String {
+    // Tests run in parallel, so each file gets its own directory.
     static COUNT: AtomicU32 = AtomicU32::new(0);
-    let own = format!(
+    let unique = format!(
         "{}-{}",
         std::process::id(),
         COUNT.fetch_add(1, Ordering::Relaxed)
     );
-    let directory = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(own);
+    let directory = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(unique);
     std::fs::create_dir_all(&directory).expect("the directory can be made");
     let path = directory.join(name);
     std::fs::write(&path, text).expect("the directory is there");
--- a/crates/anvil_ctl/tests/asking.rs
+++ b/crates/anvil_ctl/tests/node_commands.rs
@@ -1,4 +1,4 @@
-//! Commands that ask a node, against one that answers by script.
+//! Commands that contact a node, run against a node with scripted answers.
 
 mod common;
 
@@ -15,10 +15,10 @@
     options: &str,
 ) -> (anvil_ctl::outcome::CtlReport, Vec<String>) {
     let node = ScriptedNode::start(script);
-    let file = common::written("apply.yaml", RULES);
+    let file = common::write_file("apply.yaml", RULES);
     let url = &node.url;
     let line = format!("apply {file} --node {url} --change abc --timeout 3s{options}");
-    (common::run(&line), node.seen())
+    (common::run(&line), node.received())
 }
 
 fn rules() -> ScriptedAnswer {
@@ -26,16 +26,16 @@
 }
 
 fn check_apply(status: u16, body: &str, code: u8, expected: &str) {
-    // The node's words decide what the operator is told: whether the change was made, was not
-    // made, or whether nobody knows.
+    // The node's answer decides whether the operator is told that the change was applied, was not
+    // applied, or that this is unknown.
     let history = answer("GET", "/rules/history", 200, r#"{"changes": []}"#);
     let (report, _) = apply(
         vec![rules(), history, answer("POST", "/rules", status, body)],
         "",
     );
-    let told = format!("{}{}", report.out, report.err);
-    assert_eq!(report.status.code(), code, "{told}");
-    assert!(told.contains(expected), "{told}");
+    let output = format!("{}{}", report.out, report.err);
+    assert_eq!(report.status.code(), code, "{output}");
+    assert!(output.contains(expected), "{output}");
 }
 
 test_cases! { check_apply:
@@ -66,54 +66,54 @@
         4,
         "repeat it safely with `anvilctl apply"
     ),
-    a_fault_of_the_node => (500, "oops", 4, "oops, and the change is not in the node's history"),
-    no_token => (401, "", 1, "the node wants a token: name its file with --token-file"),
+    internal_error => (500, "oops", 4, "oops, and the change is not in the node's history"),
+    missing_token => (401, "", 1, "the node requires a token: give its file with --token-file"),
 }
 
 #[test]
-fn an_answer_lost_after_the_change_was_made_is_resolved_by_reading() {
-    // The node wrote the change and then answered too late. The command looks for the change's
-    // own id in the history and finds it, so the operator is told the truth and nothing is sent
-    // twice.
+fn a_lost_answer_is_resolved_from_the_history() {
+    // The node applied the change but answered too late. The command must find the change's id in
+    // the history and report it as accepted, without sending it twice.
     let unknown = answer("POST", "/rules", 503, r#"{"outcome": "unknown"}"#);
     let changes = format!(r#"{{"changes": [{{"revision": 8, "change": "{CHANGE}"}}]}}"#);
     let history = answer("GET", "/rules/history", 200, &changes);
-    let (report, seen) = apply(vec![rules(), unknown, history], "");
+    let (report, received) = apply(vec![rules(), unknown, history], "");
     assert_eq!(report.out, "accepted as revision 8\n");
     assert_eq!(report.status.code(), 0);
-    let posts = seen.iter().filter(|line| line.starts_with("POST"));
+    let posts = received.iter().filter(|line| line.starts_with("POST"));
     assert_eq!(posts.count(), 1);
 }
 
 #[test]
 fn sends_the_change_with_its_base_and_author() {
     let accepted = answer("POST", "/rules", 200, r#"{"revision": 8}"#);
-    let (_, seen) = apply(vec![rules(), accepted], "");
+    let (_, received) = apply(vec![rules(), accepted], "");
     let expected = format!("POST /rules anvil-author=ana anvil-base=7 anvil-change={CHANGE}");
-    assert_eq!(seen, ["GET /rules".to_owned(), expected]);
+    assert_eq!(received, ["GET /rules".to_owned(), expected]);
 }
 
 #[test]
-fn a_shown_copy_carries_its_revision_into_the_base() {
-    // An operator shows the rules at revision 7, edits the copy and applies it after somebody
-    // else's change. The copy says what it was made from, so the node can see the conflict.
+fn a_copy_written_by_rules_show_is_applied_with_its_revision_as_base() {
+    // An operator saves the rules at revision 7, edits the copy and applies it after another
+    // operator's change. The copy's first line gives its base revision, so that the node can detect
+    // the conflict.
     let accepted = answer("POST", "/rules", 200, r#"{"revision": 8}"#);
     let node = ScriptedNode::start(vec![rules(), accepted]);
     let shown = common::run(&format!("rules show --node {}", node.url));
     assert_eq!(shown.out, "# revision: 7\nrules: []\n");
-    let copy = common::written("copy.yaml", &shown.out.replace('7', "3"));
+    let copy = common::write_file("copy.yaml", &shown.out.replace('7', "3"));
     common::run(&format!("apply {copy} --node {}", node.url));
-    let last = node.seen().pop().expect("a request");
+    let last = node.received().pop().expect("a request");
     assert!(last.contains(" anvil-base=3 "), "{last}");
 }
 
 #[test]
-fn wrong_rules_are_never_sent() {
+fn invalid_rules_are_not_sent() {
     let node = ScriptedNode::start(vec![rules()]);
-    let file = common::written("never.yaml", "rules: 1\n");
+    let file = common::write_file("never.yaml", "rules: 1\n");
     let report = common::run(&format!("apply {file} --node {}", node.url));
     assert_eq!(report.status.code(), 1);
-    assert_eq!(node.seen(), [""; 0]);
+    assert_eq!(node.received(), [""; 0]);
 }
 
 fn check_wait(status: &str, code: u8, expected: &str) {
@@ -125,34 +125,34 @@
 }
 
 test_cases! { check_wait:
-    all_nodes_have_it => (
+    all_nodes_have_the_revision => (
         r#"{"rules": {"revision": 8, "members": 3, "in_force": 3, "lagging": []}}"#,
         0,
         "accepted as revision 8\nin force on all 3 nodes\n"
     ),
-    one_node_lags => (
+    one_node_is_lagging => (
         r#"{"rules": {"revision": 8, "members": 3, "in_force": 2,
                       "lagging": [{"node": "0f", "revision": 6}]}}"#,
         5,
         "accepted as revision 8\nanvilctl: in force on 2 of 3 nodes; lagging:\n  0f at revision 6\n\
-         look again with `anvilctl status`; the change stays accepted\n"
+         check again with `anvilctl status`; the change stays accepted\n"
     ),
-    a_node_that_was_never_heard_lags => (
+    a_node_with_unknown_revision_is_lagging => (
         r#"{"rules": {"revision": 9, "members": 2, "in_force": 1,
                       "lagging": [{"node": "0e", "revision": null}]}}"#,
         5,
-        "accepted as revision 8\nanvilctl: in force on 1 of 2 nodes; lagging:\n  0e, not heard of\n\
-         look again with `anvilctl status`; the change stays accepted\n"
+        "accepted as revision 8\nanvilctl: in force on 1 of 2 nodes; lagging:\n  0e, revision unknown\n\
+         check again with `anvilctl status`; the change stays accepted\n"
     ),
-    the_asked_node_itself_lags => (
+    the_contacted_node_itself_is_lagging => (
         r#"{"rules": {"revision": 7, "members": 3, "in_force": 3, "lagging": []}}"#,
         5,
-        "accepted as revision 8\nanvilctl: the node did not tell how far the revision has come\n"
+        "accepted as revision 8\nanvilctl: the node did not report the rollout of the revision\n"
     ),
 }
 
 #[test]
-fn an_unreachable_node_is_told() {
+fn an_unreachable_node_is_reported() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("bound");
     drop(listener);
@@ -163,12 +163,12 @@
 }
 
 #[test]
-fn sends_the_token_of_the_file() {
+fn sends_the_token_from_the_file() {
     let node = ScriptedNode::start(vec![answer("GET", "/status", 200, "{}")]);
-    let file = common::written("token", "s3cret\n");
+    let file = common::write_file("token", "s3cret\n");
     let line = format!("status --node {} --token-file {file} --json", node.url);
     assert_eq!(common::run(&line).out, "{}\n");
-    assert_eq!(node.seen(), ["GET /status authorization=Bearer s3cret"]);
+    assert_eq!(node.received(), ["GET /status authorization=Bearer s3cret"]);
 }
 
 #[test]
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn explains_by_a_node() {
+fn explains_by_the_rules_of_a_node() {
     let explained = answer(
         "POST",
         "/explain",
--- a/crates/anvil_ctl/tests/real_nodes.rs
+++ b/crates/anvil_ctl/tests/real_nodes.rs
@@ -1,4 +1,4 @@
-//! The command against real nodes, which keep their rules in a stand-in of the platform's store.
+//! The command against real nodes, which use a stand-in of the platform's store.
 
 #[allow(dead_code, reason = "other test files use the scripted node")]
 mod common;
@@ -11,10 +11,10 @@
 use anvil_node::{node, settings};
 use anvil_standins::store::{fake, server};
 
-/// Longest wait for anything; nothing comes near it unless it is broken.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Longest wait for any condition; a passing test stays far below it.
+const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A key for tests.
+/// Peer key of the test nodes.
 const SECRET: &str = "5ec2e75ec2e75ec2e75ec2e75ec2e75ec2e75ec2e75ec2e75ec2e75ec2e70000";
 
 struct RealFleet {
@@ -33,7 +33,7 @@
              gossip: 127.0.0.1:0\npeer_keys:\n  - {{id: 1, secret: {SECRET}}}\n\
              platform: ['{platform}']\n"
         );
-        let settings = settings::parse(&text, Path::new("test.yaml")).expect("right settings");
+        let settings = settings::parse(&text, Path::new("test.yaml")).expect("valid settings");
         let nodes = (0..count).map(|_| node::start(&settings).expect("free ports"));
         let fleet = Self {
             nodes: nodes.collect(),
@@ -53,13 +53,16 @@
     }
 
     fn await_status(&self, index: usize, wanted: &str) {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + TIMEOUT;
         loop {
             let status = self.run(index, "status").out;
             if status.contains(wanted) {
                 return;
             }
-            assert!(Instant::now() < until, "{wanted:?} never came: {status}");
+            assert!(
+                Instant::now() < until,
+                "the status never contained {wanted:?}: {status}"
+            );
             thread::sleep(Duration::from_millis(20));
         }
     }
@@ -75,7 +78,7 @@
 }
 
 #[test]
-fn rules_go_in_force_on_all_nodes_and_a_racing_operator_is_told() {
+fn rules_reach_all_nodes_and_a_conflicting_change_is_refused() {
     let fleet = RealFleet::start(2);
     let reclamo = common::repository_file("examples/reclamo-simple/rules.yaml");
     let applied = fleet.run(0, &format!("apply {reclamo} --wait"));
@@ -99,7 +102,7 @@
     );
     assert!(explained.out.contains("revision: 1\n"), "{}", explained.out);
 
-    // Another operator made rules from what was there before the first change.
+    // Another operator's rules are based on the revision before this change.
     let marche = common::repository_file("examples/marche-armor/rules.yaml");
     let refused = fleet.run(1, &format!("apply {marche} --base 0 --author luis"));
     assert_eq!(refused.status.code(), 1);
@@ -113,9 +116,9 @@
 }
 
 #[test]
-fn while_the_store_is_down_the_operator_is_told_and_the_node_keeps_its_rules() {
-    // The store goes down for longer than the operator waits. The change is refused for sure,
-    // the rules shown stay as they were, and the same command works once the store is back.
+fn a_change_is_refused_and_the_rules_stay_while_the_store_is_down() {
+    // The store is down for longer than the operator waits. The change must be refused as not
+    // applied, the rules must stay, and the same command must work once the store is back.
     let fleet = RealFleet::start(1);
     let down = fake::StoreFaults {
         down: true,
@@ -133,7 +136,7 @@
     assert_eq!(fleet.run(0, "rules show").out, "# revision: 0\nrules: []\n");
 
     fleet.store.set_faults(fake::StoreFaults::default());
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TIMEOUT;
     loop {
         let applied = fleet.run(0, &format!("apply {marche}"));
         if applied.out == "accepted as revision 1\n" {
--- a/crates/anvil_ctl/tests/render.rs
+++ b/crates/anvil_ctl/tests/render.rs
@@ -1,15 +1,15 @@
-//! JSON as people read it.
+//! Rendering of JSON in readable form.
 
 use anvil_ctl::render;
 use anvil_testkit::test_cases;
 
 fn check(json: &str, expected: &str) {
-    let value = serde_json::from_str(json).expect("right JSON");
+    let value = serde_json::from_str(json).expect("valid JSON");
     assert_eq!(render::tree(&value), expected);
 }
 
 test_cases! { check:
-    nothing => ("null", "-\n"),
+    null => ("null", "-\n"),
     scalars => (
         r#"{"a": 1, "b": "two", "c": true, "d": null, "e": [], "f": {}}"#,
         "a: 1\nb: two\nc: true\nd: -\ne: -\nf: -\n"
--- a/crates/anvil_ctl/tests/story.rs
+++ b/crates/anvil_ctl/tests/story.rs
@@ -1,4 +1,4 @@
-//! The story of a request, told by logs alone.
+//! Reconstruction of a request from logs.
 
 #![allow(clippy::unwrap_used)]
 
@@ -49,9 +49,9 @@
     json!({ "event": "note", "text": text })
 }
 
-/// The logs of two nodes: a lookup whose second call is refused at a deep service, and whose first one is
-/// cancelled for it.
-fn refused_deep_down() -> Vec<(&'static str, Vec<String>)> {
+/// The logs of two nodes: a lookup whose second call is refused at a deep service, whereupon its
+/// first call is cancelled.
+fn logs_of_a_deep_refusal() -> Vec<(&'static str, Vec<String>)> {
     let (first, second) = (format!("{REQUEST}.1"), format!("{REQUEST}.2"));
     let entry = vec![
         line(0.5, &serving("000000000000000a")),
@@ -85,16 +85,17 @@
     }
 }
 
-fn told(id: &str, folder: &Path) -> outcome::CtlReport {
+fn run_story(id: &str, folder: &Path) -> outcome::CtlReport {
     common::run(&format!("story {id} {}", folder.display()))
 }
 
-// A caller got 500. Its lookup made two calls; one was refused by a full deep service, and the other was cut
-// short for it. The last line names the refusal and not what followed from it, whichever id is asked for.
+// A caller got 500. Its lookup made two calls: one was refused by an overloaded deep service, and
+// the other was cancelled because of that. For each id, the last line must name the refusal and not
+// its consequences.
 fn names_the_deepest_failure(id: &str) {
     let folder = tempfile::tempdir().unwrap();
-    write(folder.path(), &refused_deep_down());
-    let report = told(id, folder.path());
+    write(folder.path(), &logs_of_a_deep_refusal());
+    let report = run_story(id, folder.path());
     assert_eq!(report.status, outcome::ExitStatus::Done, "{}", report.err);
     let last = report.out.lines().last().unwrap();
     assert_eq!(
@@ -109,24 +110,24 @@
 }
 
 test_cases! { names_the_deepest_failure:
-    by_the_callers_id => (REQUEST),
+    by_the_id_of_the_caller => (REQUEST),
     by_the_root => (ROOT),
     by_the_id_of_a_call_below => ("fabae1d4d1230ae3.1"),
 }
 
-// Lines come in order of time and not of files, with what each try cost and where it waited.
+// Lines must be in order of time and not of files, with the wait and the duration of each attempt.
 #[test]
-fn tells_in_order_of_time() {
+fn lists_entries_in_order_of_time() {
     let folder = tempfile::tempdir().unwrap();
-    write(folder.path(), &refused_deep_down());
-    let report = told(REQUEST, folder.path());
-    let begun: Vec<f64> = report
+    write(folder.path(), &logs_of_a_deep_refusal());
+    let report = run_story(REQUEST, folder.path());
+    let starts: Vec<f64> = report
         .out
         .lines()
         .filter_map(|line| line.split_whitespace().next()?.parse().ok())
         .collect();
-    assert_eq!(begun.len(), 5);
-    assert!(begun.is_sorted(), "{begun:?}");
+    assert_eq!(starts.len(), 5);
+    assert!(starts.is_sorted(), "{starts:?}");
     assert!(
         report
             .out
@@ -134,10 +135,10 @@
     );
 }
 
-// Where callers send no ids, all lines of a request share its root alone. What lies within a call in time was
-// made for it, and the run is found by its two nodes.
+// If callers send no ids, the lines of a request share only its root. A call that lies within
+// another in time belongs to it, and a run is matched by its two nodes.
 #[test]
-fn tells_of_requests_without_ids() {
+fn reconstructs_requests_without_ids() {
     let without_id = |mut facts: serde_json::Value| {
         facts["request"] = json!(null);
         facts
@@ -163,7 +164,7 @@
         folder.path(),
         &[("centro-a-1", entry), ("centro-b-2", target)],
     );
-    let report = told(ROOT, folder.path());
+    let report = run_story(ROOT, folder.path());
     let last = report.out.lines().last().unwrap();
     assert!(
         last.contains("at centro-b-2 it waited 201 ms and never started"),
@@ -172,55 +173,58 @@
     assert!(last.ends_with("the caller got answered 503"), "{last}");
 }
 
-// What the platform keeps is packed, and some nodes' lines come in one stream, each behind its node's name. The
-// story is the same.
+// The platform compresses its logs, and lines of several nodes may be in one stream, each preceded
+// by its node's name. The output must be the same.
 #[test]
-fn reads_packed_files_and_streams_with_names() {
+fn reads_compressed_files_and_streams_with_node_names() {
     let plain = tempfile::tempdir().unwrap();
-    write(plain.path(), &refused_deep_down());
-    let packed = tempfile::tempdir().unwrap();
-    let file = fs::File::create(packed.path().join("all.log.gz")).unwrap();
+    write(plain.path(), &logs_of_a_deep_refusal());
+    let compressed = tempfile::tempdir().unwrap();
+    let file = fs::File::create(compressed.path().join("all.log.gz")).unwrap();
     let mut writer = flate2::write::GzEncoder::new(file, flate2::Compression::fast());
-    for (node, lines) in refused_deep_down() {
+    for (node, lines) in logs_of_a_deep_refusal() {
         for line in lines {
             writeln!(writer, "  10.2900 {node} {line}").unwrap();
         }
     }
     writer.finish().unwrap();
-    assert_eq!(told(REQUEST, packed.path()), told(REQUEST, plain.path()));
+    assert_eq!(
+        run_story(REQUEST, compressed.path()),
+        run_story(REQUEST, plain.path())
+    );
 }
 
-// A disk ran full in the middle of a line, and somebody's banner stands in a file. These are named with their
-// places, and the story holds.
+// A full disk truncated one line, and another file contains a banner. Both lines must be reported
+// with their positions, and the rest is used.
 #[test]
-fn names_lines_that_cannot_be_read() {
+fn reports_unreadable_lines() {
     let folder = tempfile::tempdir().unwrap();
-    let mut logs = refused_deep_down();
+    let mut logs = logs_of_a_deep_refusal();
     logs[0]
         .1
         .insert(1, "{\"time\":10.1,\"level\":\"IN".to_owned());
     logs[1].1.insert(0, "=== log begins ===".to_owned());
     write(folder.path(), &logs);
-    let report = told(REQUEST, folder.path());
+    let report = run_story(REQUEST, folder.path());
     assert_eq!(report.status, outcome::ExitStatus::Done);
     assert_eq!(
         report.err,
-        "anvilctl: centro-a-1:2: no line of a node's log\nanvilctl: centro-b-2:1: no line of a node's log\n"
+        "anvilctl: centro-a-1:2: not a line of a node's log\nanvilctl: centro-b-2:1: not a line of a node's log\n"
     );
     assert_eq!(report.out.lines().count(), 7);
 }
 
-// The clock of an instance was set back by three seconds. Its lines stand where its clock put them, and the
-// story says so.
+// The clock of an instance was set back by three seconds. Its lines are ordered by its clock, and
+// the output must mention the step.
 #[test]
-fn says_where_a_clock_stepped_back() {
+fn reports_a_clock_that_was_set_back() {
     let folder = tempfile::tempdir().unwrap();
-    let mut logs = refused_deep_down();
+    let mut logs = logs_of_a_deep_refusal();
     logs[1]
         .1
         .insert(1, line(13.5, &json!({ "event": "note", "text": "x" })));
     write(folder.path(), &logs);
-    let report = told(REQUEST, folder.path());
+    let report = run_story(REQUEST, folder.path());
     assert!(
         report
             .out
@@ -230,9 +234,9 @@
     );
 }
 
-// A request that was answered has no cause to look for; where it waited is told.
+// An answered request has no cause of failure; its longest wait is reported.
 #[test]
-fn tells_of_an_answered_request() {
+fn describes_an_answered_request() {
     let folder = tempfile::tempdir().unwrap();
     let entry = vec![line(
         10.3,
@@ -246,7 +250,7 @@
         folder.path(),
         &[("centro-a-1", entry), ("centro-b-2", target)],
     );
-    let report = told(REQUEST, folder.path());
+    let report = run_story(REQUEST, folder.path());
     let last = report.out.lines().last().unwrap();
     assert_eq!(
         last,
@@ -254,10 +258,10 @@
     );
 }
 
-// The time of a lookup ran out while a call of its call waited for a slot. The cause names that wait, though the
-// call that the time ran out for is another one.
+// The deadline of a lookup passed while a call two levels below waited for a slot. The cause must
+// name that wait, although a different call exceeded the deadline.
 #[test]
-fn names_the_wait_in_which_time_ran_out() {
+fn names_the_wait_that_used_up_the_deadline() {
     let folder = tempfile::tempdir().unwrap();
     let (first, deep) = (format!("{REQUEST}.1"), format!("{REQUEST}.1.1"));
     let late = ("may-have-run: deadline", None);
@@ -277,7 +281,7 @@
         folder.path(),
         &[("centro-a-1", entry), ("centro-b-2", target)],
     );
-    let report = told(REQUEST, folder.path());
+    let report = run_story(REQUEST, folder.path());
     let last = report.out.lines().last().unwrap();
     assert!(
         last.contains("the longest wait for a slot was 593 ms at centro-b-2"),
@@ -285,24 +289,24 @@
     );
 }
 
-// The entry node's log is missing: nobody tells how the request ended, and the story says so.
+// Without the entry node's log the result of the request is unknown, which the output must say.
 #[test]
-fn says_that_no_entry_node_tells() {
+fn reports_a_missing_entry_node() {
     let folder = tempfile::tempdir().unwrap();
-    write(folder.path(), &refused_deep_down()[1..]);
-    let report = told(ROOT, folder.path());
+    write(folder.path(), &logs_of_a_deep_refusal()[1..]);
+    let report = run_story(ROOT, folder.path());
     let last = report.out.lines().last().unwrap();
     assert_eq!(
         last,
-        "cause: not in these logs; no entry node tells how the request ended"
+        "cause: unknown; no entry node in these logs reports how the request ended"
     );
 }
 
 #[test]
-fn an_id_that_is_not_there_has_an_exit_code_of_its_own() {
+fn an_unknown_id_has_its_own_exit_code() {
     let folder = tempfile::tempdir().unwrap();
-    write(folder.path(), &refused_deep_down());
-    let report = told("fabae1d4", folder.path());
+    write(folder.path(), &logs_of_a_deep_refusal());
+    let report = run_story("fabae1d4", folder.path());
     assert_eq!(report.status.code(), 6);
     assert_eq!(
         report.err,
@@ -318,8 +322,8 @@
 }
 
 test_cases! { refuses:
-    no_id => ("story", "a request's id and its logs are needed; see anvilctl story --help"),
-    no_logs => ("story abc", "a request's id and its logs are needed"),
-    an_option_that_is_none => ("story abc --fast x.log", "there is no option --fast"),
-    a_file_that_is_not_there => ("story abc /nowhere/x.log", "/nowhere/x.log: No such file"),
+    missing_id => ("story", "a request's id and its logs are needed; see anvilctl story --help"),
+    missing_logs => ("story abc", "a request's id and its logs are needed"),
+    unknown_option => ("story abc --fast x.log", "unknown option --fast"),
+    missing_file => ("story abc /nowhere/x.log", "/nowhere/x.log: No such file"),
 }
