--- a/crates/anvil_core/tests/broken_links.rs
+++ b/crates/anvil_core/tests/broken_links.rs
@@ -337,7 +337,7 @@
 // no other work, is then stopped as planned. Before it exits it asks its callers for confirmation,
 // so that the caller gets the answer, or is told that the claim never ran and may go to another
 // target.
-fn check_planned_stop(loss: SilentLoss) {
+fn check_leaving(loss: SilentLoss) {
     let mut pair = LinkedPair::new(8);
     pair.call(9, "POST");
     pair.deliver();
@@ -367,7 +367,7 @@
 }
 
 anvil_testkit::test_cases! {
-    check_planned_stop:
+    check_leaving:
     with_its_claim_lost => (SilentLoss::Call),
     with_its_answer_lost => (SilentLoss::Answer),
 }
