--- a/crates/anvil_membership/tests/rule_document.rs
+++ b/crates/anvil_membership/tests/rule_document.rs
@@ -236,7 +236,7 @@
     for newer in [9, 12] {
         net.store.faults.down = true;
         net.run(Duration::from_millis(500));
-        net.store.put_back(&copy);
+        net.store.restore_copy(&copy);
         net.store.faults.down = false;
         net.run(Duration::from_secs(3));
         assert_eq!(holding(&net, 7), 16);
@@ -258,7 +258,7 @@
     let copy = net.store.clone();
     write(&mut net, 7);
     net.run_until(Duration::from_secs(10), |net| holding(net, 7) == 16);
-    net.store.put_back(&copy);
+    net.store.restore_copy(&copy);
     let starting = add(&mut net, 16, 0);
     let ready = |net: &Net| net.nodes[starting].state.is_ready();
     net.run_until(Duration::from_secs(8), ready);
@@ -278,7 +278,7 @@
         net.run(Duration::from_millis(500) - started_before);
         let early = (!started_before.is_zero()).then(|| add(&mut net, 16, 0));
         net.run(started_before);
-        net.store.put_back(&copy);
+        net.store.restore_copy(&copy);
         net.store.faults.down = false;
         net.run(started_after);
         let starting = early.unwrap_or_else(|| add(&mut net, 16, 0));
--- a/crates/anvil_node/examples/added_latency.rs
+++ b/crates/anvil_node/examples/added_latency.rs
@@ -102,7 +102,7 @@
 }
 
 fn main() -> eyre::Result<()> {
-    let target = http_target::StandInTarget::start_forgetful()?;
+    let target = http_target::StandInTarget::start_without_recording()?;
     let inner = node::start(&node_settings(&[])?)?;
     let entry = node::start(&node_settings(&[inner.bound().gossip])?)?;
     announce(inner.bound().admin, target.address())?;
--- a/crates/anvil_node/examples/demo.rs
+++ b/crates/anvil_node/examples/demo.rs
@@ -139,7 +139,7 @@
         self.sent += 1;
         self.attempts += record.attempts;
         match record.outcome {
-            ledger::CallerOutcome::Whole => self.whole += 1,
+            ledger::CallerOutcome::Complete => self.whole += 1,
             ledger::CallerOutcome::NotRun => self.not_run += 1,
             _ => self.failed += 1,
         }
@@ -209,6 +209,6 @@
     print(&format!(
         "\nwhole answers during the pressure: {:.0} a second; back at 95 %: {recovery}\n\
          share of the targets' time spent in vain: {:.1} %; runs of any one claim: at most {}\n",
-        report.goodput, report.wasted_percent, report.most_runs_per_key
+        report.goodput, report.wasted_percent, report.max_runs_per_key
     ));
 }
--- a/crates/anvil_node/examples/experiment.rs
+++ b/crates/anvil_node/examples/experiment.rs
@@ -168,9 +168,9 @@
         ));
     }
     let report = report::RunReport::of(&ledger, &scenario);
-    if report.strangers > 0 {
+    if report.foreign_runs > 0 {
         // Another program's requests came to these targets, so no figure of the run means anything.
-        warn(&format!("{} RUNS OF STRANGERS\n", report.strangers));
+        warn(&format!("{} RUNS OF STRANGERS\n", report.foreign_runs));
     }
     Ok(report)
 }
@@ -238,9 +238,9 @@
     }
     cells.push(recovery(reports));
     let counts: [fn(&report::RunReport) -> usize; 5] = [
-        |report| report.most_runs_per_key,
+        |report| report.max_runs_per_key,
         |report| report.foreign,
-        |report| report.strangers,
+        |report| report.foreign_runs,
         |report| report.silent,
         |report| report.cut,
     ];
@@ -248,12 +248,12 @@
         let most = reports.iter().map(count).max().unwrap_or(0);
         cells.push(most.to_string());
     }
-    let whole: usize = reports.iter().map(|report| report.all.whole).sum();
+    let whole: usize = reports.iter().map(|report| report.all.complete).sum();
     let sent: usize = reports.iter().map(|report| report.all.sent).sum();
     cells.push(format!("{whole} of {sent}"));
     let costs: [fn(&report::RunReport) -> f64; 2] = [
         |report| report.cpu_micros_per_run,
-        |report| report.most_megabytes,
+        |report| report.max_megabytes,
     ];
     for cost in costs {
         cells.push(spread(reports.iter().map(cost).collect(), 0));
--- a/crates/anvil_node/examples/library_fit.rs
+++ b/crates/anvil_node/examples/library_fit.rs
@@ -37,7 +37,7 @@
     println!();
     println!("| client, {REQUESTS} requests | connections opened | µs a request |");
     println!("|---|---|---|");
-    let target = http_target::StandInTarget::start_forgetful()?;
+    let target = http_target::StandInTarget::start_without_recording()?;
     ask("attohttpc to the target", target.address(), &target)?;
     announce(node.bound().admin, target.address())?;
     let before = target.connections();
--- a/crates/anvil_node/examples/target.rs
+++ b/crates/anvil_node/examples/target.rs
@@ -21,7 +21,7 @@
     let slots: u32 = arguments.opt_value_from_str("--slots")?.unwrap_or(40);
     let unknown = arguments.finish();
     ensure!(unknown.is_empty(), "unknown arguments: {unknown:?}");
-    let target = http_target::StandInTarget::start_forgetful()?;
+    let target = http_target::StandInTarget::start_without_recording()?;
     let announcement = serde_json::json!({
         "service": service,
         "address": target.address(),
--- a/crates/anvil_node/tests/broken_connections.rs
+++ b/crates/anvil_node/tests/broken_connections.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 use anvil_node::{node, settings};
-use anvil_standins::{ground, http_target, proxy};
+use anvil_standins::{http_target, loopback, proxy};
 
 const CALLER: u16 = 8_080;
 const ADMIN: u16 = 8_081;
@@ -29,7 +29,7 @@
 /// A node whose port for other nodes lies behind a proxy.
 struct ProxiedNode {
     node: node::RunningNode,
-    link: proxy::HarmProxy,
+    link: proxy::FaultProxy,
 }
 
 /// Two nodes, a target beside the second, and everything between them in the hands of the test.
@@ -38,17 +38,17 @@
     serving: ProxiedNode,
     target: http_target::StandInTarget,
     _runtime: tokio::runtime::Runtime,
-    _ground: ground::LoopbackGround,
+    _ground: loopback::LoopbackBlock,
 }
 
 fn start(
-    ground: &ground::LoopbackGround,
+    ground: &loopback::LoopbackBlock,
     runtime: &tokio::runtime::Handle,
     place: u8,
     seed: SocketAddr,
 ) -> ProxiedNode {
     let hidden = ground.port(HIDDEN + place, PEER);
-    let link = proxy::HarmProxy::start(runtime, ground.port(place, PEER), hidden).unwrap();
+    let link = proxy::FaultProxy::start(runtime, ground.port(place, PEER), hidden).unwrap();
     let yaml = format!(
         "zone: ar-centro-a\nregion: ar-centro\nadvertise: {}\nlisten: {{caller: '{}', admin: '{}', \
          peer: '{hidden}', gossip: '{}'}}\npeer_keys: [{{id: 1, secret: {}}}]\nseeds: ['{seed}']\n",
@@ -65,7 +65,7 @@
 
 impl ProxiedPair {
     fn start() -> Self {
-        let ground = ground::LoopbackGround::claim().unwrap();
+        let ground = loopback::LoopbackBlock::claim().unwrap();
         let runtime = tokio::runtime::Runtime::new().unwrap();
         let entry = start(
             &ground,
@@ -108,7 +108,7 @@
     }
 
     /// Does `harm` to all connections between the two nodes; new ones work.
-    fn harm(&self, harm: proxy::LinkHarm) {
+    fn harm(&self, harm: proxy::LinkFault) {
         self.entry.link.set(harm);
         self.serving.link.set(harm);
     }
@@ -125,7 +125,7 @@
 
 // A bid is out, or comes, on a connection that breaks. The caller gets the answer of the one run, also
 // where its node was asked to stop before: planned work cuts nothing.
-fn check_break(harm: proxy::LinkHarm, moment: BreakMoment, stopping: bool) {
+fn check_break(harm: proxy::LinkFault, moment: BreakMoment, stopping: bool) {
     const BID: &str = "/slow/1200";
     let pair = ProxiedPair::start();
     if matches!(moment, BreakMoment::Idle) {
@@ -156,10 +156,10 @@
 
 anvil_testkit::test_cases! {
     check_break:
-    reset_while_running => (proxy::LinkHarm::Reset, BreakMoment::Running, false),
-    silenced_while_running => (proxy::LinkHarm::Silenced, BreakMoment::Running, false),
-    silenced_while_idle => (proxy::LinkHarm::Silenced, BreakMoment::Idle, false),
-    reset_while_running_at_a_stop => (proxy::LinkHarm::Reset, BreakMoment::Running, true),
-    silenced_while_running_at_a_stop => (proxy::LinkHarm::Silenced, BreakMoment::Running, true),
-    silenced_while_idle_at_a_stop => (proxy::LinkHarm::Silenced, BreakMoment::Idle, true),
+    reset_while_running => (proxy::LinkFault::Reset, BreakMoment::Running, false),
+    silenced_while_running => (proxy::LinkFault::Silenced, BreakMoment::Running, false),
+    silenced_while_idle => (proxy::LinkFault::Silenced, BreakMoment::Idle, false),
+    reset_while_running_at_a_stop => (proxy::LinkFault::Reset, BreakMoment::Running, true),
+    silenced_while_running_at_a_stop => (proxy::LinkFault::Silenced, BreakMoment::Running, true),
+    silenced_while_idle_at_a_stop => (proxy::LinkFault::Silenced, BreakMoment::Idle, true),
 }
--- a/crates/anvil_standins/src/client.rs
+++ b/crates/anvil_standins/src/client.rs
@@ -1,4 +1,4 @@
-//! A small HTTP client with kept connections, for stand-in callers and targets.
+//! A small HTTP client with pooled connections, for stand-in callers and targets.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,19 +10,19 @@
 use hyper_util::client::legacy::connect;
 use hyper_util::rt;
 
-/// Header by which a caller names the service that it asks for.
+/// Header in which a caller names the service that it calls.
 pub const SERVICE_HEADER: &str = "anvil-service";
 
-/// Header that tells whether a request ran.
+/// Header with the outcome of a request: whether it ran.
 pub const OUTCOME_HEADER: &str = "anvil-outcome";
 
-/// Header that a target sends back on its own calls.
+/// Header with the parent token, which a target copies to its own calls.
 pub const PARENT_HEADER: &str = "anvil-parent";
 
-/// Header with the time that a caller still waits, in milliseconds.
+/// Header with the caller's remaining timeout, in milliseconds.
 pub const TIMEOUT_HEADER: &str = "anvil-timeout-ms";
 
-/// Header with the caller's own name for a non-idempotent action.
+/// Header with the caller's idempotency key for a non-idempotent action.
 pub const KEY_HEADER: &str = "idempotency-key";
 
 /// Header with the root request's id.
@@ -31,13 +31,13 @@
 /// Header with the number of attempts that the entry node dispatched.
 pub const ATTEMPTS_HEADER: &str = "anvil-attempts";
 
-/// Header with the place of the rule that decided.
+/// Header with the index of the rule that decided.
 pub const RULE_HEADER: &str = "anvil-rule";
 
-/// Why an exchange brought no answer.
+/// Why a request got no answer.
 #[derive(Debug, Display, Error)]
 pub enum ExchangeError {
-    /// The time ran out.
+    /// The timeout passed.
     #[display("timed out")]
     Timeout,
     /// The request could not be built.
@@ -46,13 +46,13 @@
     /// The connection failed.
     #[display("connection: {_0}")]
     Connection(legacy::Error),
-    /// The answer broke off.
+    /// The answer is incomplete.
     #[display("answer: {_0}")]
     Answer(hyper::Error),
 }
 
 impl ExchangeError {
-    /// Whether no connection came about, so that another address may be tried at once.
+    /// Whether no connection was established, so that another address may be tried at once.
     pub fn is_refused(&self) -> bool {
         matches!(self, Self::Connection(error) if error.is_connect())
     }
@@ -61,7 +61,7 @@
 /// One request of a stand-in.
 #[derive(Clone, Debug)]
 pub struct ClientRequest<'request> {
-    /// Where to.
+    /// Address to send it to.
     pub address: SocketAddr,
     /// Method.
     pub method: &'request str,
@@ -71,18 +71,18 @@
     pub headers: &'request [(&'static str, String)],
     /// Body.
     pub body: Bytes,
-    /// Longest wait.
+    /// Longest wait for the complete answer.
     pub timeout: Duration,
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Clone, Debug)]
 pub struct ClientAnswer {
     /// Status.
     pub status: u16,
     /// Headers.
     pub headers: http::HeaderMap,
-    /// Whole body.
+    /// Complete body.
     pub body: Bytes,
 }
 
@@ -94,13 +94,13 @@
     }
 }
 
-/// Keeps connections open between requests.
+/// A client that keeps connections open between requests.
 #[derive(Clone, Debug)]
-pub struct KeptClient {
+pub struct PooledClient {
     inner: legacy::Client<connect::HttpConnector, Full<Bytes>>,
 }
 
-impl Default for KeptClient {
+impl Default for PooledClient {
     fn default() -> Self {
         let mut connector = connect::HttpConnector::new();
         connector.set_nodelay(true);
@@ -111,8 +111,8 @@
     }
 }
 
-impl KeptClient {
-    /// Sends a request and waits for its whole answer.
+impl PooledClient {
+    /// Sends a request and waits for its complete answer.
     pub async fn send(&self, request: ClientRequest<'_>) -> Result<ClientAnswer, ExchangeError> {
         let timeout = request.timeout;
         let exchange = self.exchange(request);
--- a/crates/anvil_standins/src/experiment.rs
+++ b/crates/anvil_standins/src/experiment.rs
@@ -1,4 +1,4 @@
-//! Runs one scenario on one version of the system: real node processes, stand-in targets.
+//! Runs one scenario on one version of the system with real node processes and stand-in targets.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,44 +8,45 @@
 use bytes::Bytes;
 use eyre::{WrapErr, ensure};
 
-use crate::{client, ground, ledger, load, mesh, mesh_target, process, scenario};
+use crate::{client, ledger, load, loopback, mesh, mesh_target, process, scenario};
 
 mod faults;
 
-/// The key of every node in an experiment; it guards nothing.
+/// The peer key of every node in an experiment; it protects nothing.
 const PEER_SECRET: &str = "5ec2e75ec2e75ec2e75ec2e75ec2e75ec2e75ec2e75ec2e75ec2e75ec2e70000";
 
-/// Ports of each member on its own address, below those that systems hand out by themselves: a node
-/// that restarts finds its own free, and what callers and its target know of it stays true.
+/// Ports of each member on its own address. They are below the ephemeral ports of the system, so
+/// that a restarting node finds its ports free and keeps its addresses for callers and its target.
 const CALLER_PORT: u16 = 8_080;
 const ADMIN_PORT: u16 = 8_081;
 const PEER_PORT: u16 = 8_082;
 const GOSSIP_PORT: u16 = 8_083;
 const TARGET_PORT: u16 = 8_084;
 
-/// How often targets renew their announcements, and how long those last.
-const RENEW_PERIOD: Duration = Duration::from_millis(500);
+/// Interval at which targets renew their announcements.
+const RENEW_INTERVAL: Duration = Duration::from_millis(500);
+/// How long an announcement is valid.
 const ANNOUNCE_LEASE_MS: u64 = 2_000;
 
 /// Longest wait for all nodes to know all targets.
-const GATHER_WAIT: Duration = Duration::from_secs(20);
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Pause between two looks at a node's status.
-const LOOK_PAUSE: Duration = Duration::from_millis(50);
+/// Interval between two requests for a node's status.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How long a run that is ended early goes on, so that nodes write out what they know.
-const LAST_WORDS: Duration = Duration::from_secs(2);
+/// How long a run that is ended early continues, so that nodes write their logs.
+const LOG_FLUSH_TIME: Duration = Duration::from_secs(2);
 
-/// How long a target that crashed stays away.
-const CRASH_PAUSE: Duration = Duration::from_secs(1);
+/// How long a crashed target takes to restart.
+const RESTART_TIME: Duration = Duration::from_secs(1);
 
-/// A cold start of a stand-in target.
-const COLD: mesh_target::ColdStart = mesh_target::ColdStart {
+/// The cold start of stand-in targets.
+const COLD_START: mesh_target::ColdStart = mesh_target::ColdStart {
     span: Duration::from_secs(3),
     factor: 8.0,
 };
 
-/// One run: which mesh, which scenario, which version.
+/// One run: the mesh, the scenario and the version of the system.
 #[derive(Clone)]
 pub struct ExperimentPlan {
     /// Starts each node.
@@ -54,57 +55,57 @@
     pub mesh: Arc<mesh::MeshPlan>,
     /// The scenario.
     pub scenario: Arc<scenario::ScenarioPlan>,
-    /// The operators' rules, as YAML; without them the built-in ones decide.
+    /// The operators' rules, as YAML; if there are none, the built-in defaults apply.
     pub rules: Option<String>,
     /// The store's address.
     pub store: SocketAddr,
-    /// Lines added to each node's settings, such as the switches of safeguards.
+    /// Lines added to each node's settings, such as switches of safeguards.
     pub extra_settings: String,
-    /// Feeds load and targets.
+    /// Seed of the load and of the targets.
     pub seed: u64,
 }
 
 /// One node and the target beside it.
 struct MeshMember {
-    /// Its place on the ground.
-    place: u8,
+    /// Index of its address in the experiment's loopback block.
+    address_index: u8,
     zone: name::ZoneName,
     name: String,
     node: Box<dyn process::NodeHandle>,
     target: Arc<mesh_target::MeshTarget>,
 }
 
-/// A mesh that runs.
+/// A running mesh.
 struct RunningMesh {
     plan: ExperimentPlan,
-    ground: ground::LoopbackGround,
-    /// What the ids of this experiment's root requests begin with.
+    block: loopback::LoopbackBlock,
+    /// Prefix of the ids of this experiment's root requests.
     tag: String,
     members: Vec<MeshMember>,
     ledger: Arc<ledger::RunLedger>,
-    client: client::KeptClient,
+    client: client::PooledClient,
 }
 
 /// Runs the scenario and returns everything recorded.
 pub async fn run_recorded(plan: ExperimentPlan) -> eyre::Result<Arc<ledger::RunLedger>> {
     let mut mesh = RunningMesh::start(plan).await?;
-    let keeper = tokio::spawn(keep_targets(mesh.keepers()));
-    mesh.gather(mesh.members.len()).await?;
+    let supervisor = tokio::spawn(supervise_targets(mesh.targets()));
+    mesh.wait_for_targets(mesh.members.len()).await?;
     mesh.apply_rules().await?;
     let start = Instant::now();
     let load = mesh.load_plan();
     let callers = tokio::spawn(load::run_load(load, start));
-    let mut doubled = mesh.ledger.doubled();
+    let mut key_ran_twice = mesh.ledger.key_ran_twice();
     tokio::select! {
         played = mesh.play(start, callers) => played?,
-        // What the processes know of the key is in their logs and memory now, and is lost when they
-        // go on; a run that went wrong has nothing more to show.
-        Ok(_) = doubled.wait_for(|doubled| *doubled) => tokio::time::sleep(LAST_WORDS).await,
+        // A key that runs twice is an error, which ends the run: the logs and the memory of the
+        // processes still contain its cause, which would be lost if they continued.
+        Ok(_) = key_ran_twice.wait_for(|ran_twice| *ran_twice) => tokio::time::sleep(LOG_FLUSH_TIME).await,
     }
-    keeper.abort();
+    supervisor.abort();
     for member in &mesh.members {
         if let Some(usage) = member.node.usage() {
-            mesh.ledger.used(usage);
+            mesh.ledger.record_usage(usage);
         }
     }
     Ok(Arc::clone(&mesh.ledger))
@@ -121,23 +122,23 @@
     }
 
     async fn start(plan: ExperimentPlan) -> eyre::Result<Self> {
-        let ground = ground::LoopbackGround::claim().wrap_err("no loopback addresses are free")?;
-        let tag = load::root_tag(plan.seed, ground.block());
+        let block = loopback::LoopbackBlock::claim().wrap_err("no loopback addresses are free")?;
+        let tag = load::root_tag(plan.seed, block.number());
         let mut mesh = Self {
-            ground,
+            block,
             members: Vec::new(),
-            ledger: Arc::new(ledger::RunLedger::tagged(tag.clone())),
+            ledger: Arc::new(ledger::RunLedger::with_tag(tag.clone())),
             tag,
-            client: client::KeptClient::default(),
+            client: client::PooledClient::default(),
             plan,
         };
         let plan = Arc::clone(&mesh.plan.mesh);
-        let mut dealt = 0;
+        let mut started = 0;
         for service in &plan.services {
             for _ in 0..service.instances {
-                let zone = plan.zones[dealt % plan.zones.len()].clone();
-                mesh.add(service, zone, dealt).await?;
-                dealt += 1;
+                let zone = plan.zones[started % plan.zones.len()].clone();
+                mesh.add(service, zone, started).await?;
+                started += 1;
             }
         }
         Ok(mesh)
@@ -147,26 +148,27 @@
         &mut self,
         service: &mesh::ServicePlan,
         zone: name::ZoneName,
-        dealt: usize,
+        index: usize,
     ) -> eyre::Result<()> {
-        let place = u8::try_from(dealt).wrap_err("a mesh has 254 instances at most")?;
-        let name = format!("{}-{place}", service.name);
+        let address_index =
+            u8::try_from(index).wrap_err("a mesh can have at most 254 instances")?;
+        let name = format!("{}-{address_index}", service.name);
         let target_plan = mesh_target::TargetPlan {
             name: name.clone(),
             service: service.clone(),
-            seed: self.plan.seed.wrapping_mul(1_000) + u64::from(place),
-            cold: COLD,
+            seed: self.plan.seed.wrapping_mul(1_000) + u64::from(address_index),
+            cold: COLD_START,
         };
         let ledger = Arc::clone(&self.ledger);
-        let address = self.ground.port(place, TARGET_PORT);
+        let address = self.block.port(address_index, TARGET_PORT);
         let target = mesh_target::MeshTarget::start(target_plan, address, ledger).await?;
-        // A target that serves long before the scenario starts is warm.
+        // The scenario assumes targets that started long before it.
         target.warm_up();
-        let node = self.start_node(&name, &zone, place)?;
+        let node = self.start_node(&name, &zone, address_index)?;
         target.set_node(node.addresses().caller);
         announce(&self.client, node.addresses().admin, &target).await?;
         self.members.push(MeshMember {
-            place,
+            address_index,
             zone,
             name,
             node,
@@ -175,12 +177,12 @@
         Ok(())
     }
 
-    /// Starts the node of one place.
+    /// Starts the node of one address index.
     fn start_node(
         &self,
         name: &str,
         zone: &name::ZoneName,
-        place: u8,
+        address_index: u8,
     ) -> eyre::Result<Box<dyn process::NodeHandle>> {
         let seeds: Vec<String> = self
             .members
@@ -188,14 +190,14 @@
             .take(3)
             .map(|member| format!("'{}'", member.node.addresses().gossip))
             .collect();
-        let port = |port| self.ground.port(place, port);
+        let port = |port| self.block.port(address_index, port);
         let settings = format!(
             "zone: {zone}\nregion: {region}\nadvertise: {address}\n\
              listen: {{caller: '{caller}', admin: '{admin}', peer: '{peer}', gossip: '{gossip}'}}\n\
              peer_keys: [{{id: 1, secret: '{PEER_SECRET}'}}]\n\
              seeds: [{seeds}]\nplatform: ['{store}']\nlimits: {{caller_connections: 16384}}\n{extra}",
             region = self.plan.mesh.region,
-            address = self.ground.address(place),
+            address = self.block.address(address_index),
             caller = port(CALLER_PORT),
             admin = port(ADMIN_PORT),
             peer = port(PEER_PORT),
@@ -208,28 +210,29 @@
     }
 
     /// Waits until every node knows `wanted` targets.
-    async fn gather(&self, wanted: usize) -> eyre::Result<()> {
+    async fn wait_for_targets(&self, wanted: usize) -> eyre::Result<()> {
         self.await_all("know all targets", |status| {
             status["peers"].as_array().map_or(0, Vec::len) >= wanted
         })
         .await
     }
 
-    /// Waits until the status of every node passes `check`; `wanted` says in words what for.
+    /// Waits until the status of every node passes `check`, which `wanted` describes for error
+    /// messages.
     async fn await_all<Check>(&self, wanted: &str, check: Check) -> eyre::Result<()>
     where
         Check: Fn(&serde_json::Value) -> bool,
     {
-        let until = Instant::now() + GATHER_WAIT;
+        let until = Instant::now() + READY_TIMEOUT;
         for member in &self.members {
-            // A node that is just starting may not answer yet.
+            // A starting node may not answer yet.
             while !self.status(member).await.is_ok_and(|status| check(&status)) {
                 ensure!(
                     Instant::now() < until,
                     "node {} does not {wanted}",
                     member.name
                 );
-                tokio::time::sleep(LOOK_PAUSE).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         }
         Ok(())
@@ -251,7 +254,7 @@
             ("anvil-base", "0".to_owned()),
         ];
         let admin = self.members[0].node.addresses().admin;
-        let until = Instant::now() + GATHER_WAIT;
+        let until = Instant::now() + READY_TIMEOUT;
         loop {
             let mut request = admin_request(admin, "POST", "/rules");
             request.headers = &headers;
@@ -260,17 +263,17 @@
             if answer.status == 200 {
                 break;
             }
-            // A node that has not compared its rules with its peers' takes no change yet.
+            // A node that has not compared its rules with its peers' accepts no change yet.
             let text = String::from_utf8_lossy(&answer.body);
             ensure!(
                 answer.status == 503 && Instant::now() < until,
                 "the rules were refused with {}: {text}",
                 answer.status
             );
-            tokio::time::sleep(LOOK_PAUSE).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
-        // Nodes take a change by gossip; the load must not start under the old rules.
-        self.await_all("hold the rules", |status| {
+        // Nodes get the change by gossip; the load must not start under the old rules.
+        self.await_all("have the rules", |status| {
             status["rules"]["revision"].as_u64() > Some(0)
         })
         .await
@@ -289,41 +292,41 @@
         }
     }
 
-    fn keepers(&self) -> Vec<(Arc<mesh_target::MeshTarget>, SocketAddr)> {
+    fn targets(&self) -> Vec<(Arc<mesh_target::MeshTarget>, SocketAddr)> {
         let members = self.members.iter();
-        let keeper = |member: &MeshMember| {
+        let target = |member: &MeshMember| {
             let admin = member.node.addresses().admin;
             (Arc::clone(&member.target), admin)
         };
-        members.map(keeper).collect()
+        members.map(target).collect()
     }
 }
 
-/// Renews the targets' announcements and restarts those that a poisonous request crashed.
-async fn keep_targets(targets: Vec<(Arc<mesh_target::MeshTarget>, SocketAddr)>) {
-    let client = client::KeptClient::default();
-    let mut seen: Vec<u64> = targets.iter().map(|(target, _)| target.crashes()).collect();
+/// Renews the targets' announcements and restarts targets that a poisonous request crashed.
+async fn supervise_targets(targets: Vec<(Arc<mesh_target::MeshTarget>, SocketAddr)>) {
+    let client = client::PooledClient::default();
+    let mut handled: Vec<u64> = targets.iter().map(|(target, _)| target.crashes()).collect();
     loop {
-        for ((target, admin), crashes) in targets.iter().zip(&mut seen) {
+        for ((target, admin), crashes) in targets.iter().zip(&mut handled) {
             if target.poisoned() && target.crashes() > *crashes {
                 *crashes = target.crashes();
                 let target = Arc::clone(target);
                 tokio::spawn(async move {
-                    tokio::time::sleep(CRASH_PAUSE).await;
+                    tokio::time::sleep(RESTART_TIME).await;
                     target.restart();
                 });
             }
             if !target.is_down() {
-                // A node that is gone takes no announcement; its successor stands at the same address.
+                // A stopped node accepts no announcement; its successor has the same address.
                 let _ = announce(&client, *admin, target).await;
             }
         }
-        tokio::time::sleep(RENEW_PERIOD).await;
+        tokio::time::sleep(RENEW_INTERVAL).await;
     }
 }
 
 async fn announce(
-    client: &client::KeptClient,
+    client: &client::PooledClient,
     admin: SocketAddr,
     target: &mesh_target::MeshTarget,
 ) -> eyre::Result<()> {
--- a/crates/anvil_standins/src/experiment/faults.rs
+++ b/crates/anvil_standins/src/experiment/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of a scenario: when they start, what they do, how they end.
+//! Starts and ends the faults of a scenario.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -9,7 +9,7 @@
 use crate::{experiment, load, mesh_target, scenario};
 
 /// Pause between two groups of a rolling restart.
-const RESTART_PAUSE: Duration = Duration::from_millis(1_500);
+const GROUP_PAUSE: Duration = Duration::from_millis(1_500);
 
 impl experiment::RunningMesh {
     pub(super) async fn play_faults(&mut self, start: Instant) -> eyre::Result<()> {
@@ -25,7 +25,8 @@
             self.end_fault(fault).await?;
         }
         for task in poison {
-            task.await.wrap_err("the poisonous caller panicked")?;
+            task.await
+                .wrap_err("the caller of the poisonous request panicked")?;
         }
         Ok(())
     }
@@ -60,7 +61,7 @@
                 for target in targets.iter().take(targets.len() / 2) {
                     target.crash();
                 }
-                tokio::time::sleep(experiment::CRASH_PAUSE).await;
+                tokio::time::sleep(experiment::RESTART_TIME).await;
                 for target in targets.iter().take(targets.len() / 2) {
                     target.restart();
                 }
@@ -73,30 +74,31 @@
         Ok(())
     }
 
-    /// Stops nodes gracefully, some at once, and puts new ones in their places.
+    /// Stops nodes gracefully, in groups, and replaces them with new ones.
     async fn restart_in_turn(&mut self, at_once: usize, restarts: usize) -> eyre::Result<()> {
         let count = self.members.len();
         let step = at_once.clamp(1, count);
         let mut done = 0;
         while done < restarts {
-            // Members stand service by service; a stride keeps a group from emptying a service.
+            // Members are ordered by service. A stride avoids stopping all nodes of one service at
+            // once.
             let first = done / step;
             let group = (0..step).map(|turn| (first + turn * (count / step)) % count);
             let group: Vec<usize> = group.collect();
             self.stop_nodes(&group).await?;
-            for place in &group {
-                self.revive(*place).await?;
+            for index in &group {
+                self.restart_node(*index).await?;
             }
             done += step;
-            // A group follows when the one before is known, as an operator's rollout would wait.
-            tokio::time::sleep(RESTART_PAUSE).await;
+            // The next group waits until the new nodes are known, as an operator's rollout would.
+            tokio::time::sleep(GROUP_PAUSE).await;
         }
         Ok(())
     }
 
     async fn stop_nodes(&mut self, group: &[usize]) -> eyre::Result<()> {
         let chosen = self.members.iter_mut().enumerate();
-        let chosen = chosen.filter(|(place, _)| group.contains(place));
+        let chosen = chosen.filter(|(index, _)| group.contains(index));
         tokio::task::block_in_place(|| {
             std::thread::scope(|scope| {
                 let stopping: Vec<_> = chosen
@@ -119,9 +121,9 @@
                 }
             }
             scenario::FaultPlan::LoseZone { zone } => {
-                for place in 0..self.members.len() {
-                    if self.members[place].zone == *zone {
-                        self.revive(place).await?;
+                for index in 0..self.members.len() {
+                    if self.members[index].zone == *zone {
+                        self.restart_node(index).await?;
                     }
                 }
             }
@@ -132,16 +134,16 @@
         Ok(())
     }
 
-    /// A new node process takes the place of one that ended, at the same addresses.
-    async fn revive(&mut self, index: usize) -> eyre::Result<()> {
+    /// Starts a new node process at the addresses of one that ended.
+    async fn restart_node(&mut self, index: usize) -> eyre::Result<()> {
         let member = &self.members[index];
-        let node = self.start_node(&member.name, &member.zone, member.place)?;
+        let node = self.start_node(&member.name, &member.zone, member.address_index)?;
         let member = &mut self.members[index];
         member.node = node;
         if member.target.is_down() {
             member.target.restart();
         }
-        // The keeper's next announcement may be half a second away, in which the target is idle.
+        // The next renewal may be half a second away, during which the target would be idle.
         let admin = member.node.addresses().admin;
         experiment::announce(&self.client, admin, &member.target).await
     }
--- a/crates/anvil_standins/src/http_target.rs
+++ b/crates/anvil_standins/src/http_target.rs
@@ -1,6 +1,6 @@
-//! A target that records what it gets and answers as the path says.
+//! A target that records its requests and whose behaviour is chosen by the request's path.
 //!
-//! | path | what it does |
+//! | path | behaviour |
 //! |---|---|
 //! | `/slow/MILLIS` | answers after a pause |
 //! | `/refuse` | refuses with 503 and `anvil-not-run: 1` |
@@ -32,19 +32,19 @@
 use tokio::runtime;
 use tokio::sync::{mpsc, oneshot};
 
-/// The body breaks off here, on purpose.
+/// Error that breaks a connection on purpose.
 #[derive(Clone, Copy, Debug, Display, derive_more::Error)]
-#[display("the target breaks off")]
+#[display("the target closed the connection on purpose")]
 pub struct BreakOff;
 
 type AnswerBody = UnsyncBoxBody<Bytes, BreakOff>;
 
-/// One request as the target got it.
+/// One request as the target received it.
 #[derive(Clone, Debug)]
 pub struct SeenRequest {
     /// Method, path and headers.
     pub head: Arc<request::Parts>,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
 }
 
@@ -64,7 +64,7 @@
     recording: bool,
 }
 
-/// A target on a free port of the loopback address; it ends when dropped.
+/// A target on a free port of the loopback address, which stops when dropped.
 #[derive(Debug)]
 pub struct StandInTarget {
     address: SocketAddr,
@@ -74,13 +74,13 @@
 }
 
 impl StandInTarget {
-    /// Starts a target that keeps every request it sees.
+    /// Starts a target that records every request.
     pub fn start() -> std::io::Result<Self> {
         Self::launch(true)
     }
 
-    /// Starts a target that keeps nothing, for measurements.
-    pub fn start_forgetful() -> std::io::Result<Self> {
+    /// Starts a target that records nothing, for measurements.
+    pub fn start_without_recording() -> std::io::Result<Self> {
         Self::launch(false)
     }
 
@@ -118,7 +118,7 @@
         self.address
     }
 
-    /// Everything it got so far, in order.
+    /// All requests received so far, in order.
     pub fn seen(&self) -> Vec<SeenRequest> {
         let seen = self.record.seen.lock();
         seen.unwrap_or_else(PoisonError::into_inner).clone()
@@ -129,7 +129,7 @@
         self.record.connections.load(Ordering::Relaxed)
     }
 
-    /// Requests whose connection closed before their answer.
+    /// Number of requests whose connection closed before the answer.
     pub fn abandoned(&self) -> u64 {
         self.record.abandoned.load(Ordering::Relaxed)
     }
@@ -139,7 +139,7 @@
     fn drop(&mut self) {
         drop(self.stop.take());
         if let Some(thread) = self.thread.take() {
-            // A panic of the stand-in shows in the test's output.
+            // A panic of the stand-in is visible in the test's output.
             let _ = thread.join();
         }
     }
@@ -161,12 +161,13 @@
     }
 }
 
-struct Presence {
+/// Counts a request as abandoned if it is dropped before its answer.
+struct AbandonGuard {
     record: Arc<TargetRecord>,
     waiting: bool,
 }
 
-impl Drop for Presence {
+impl Drop for AbandonGuard {
     fn drop(&mut self) {
         if self.waiting {
             self.record.abandoned.fetch_add(1, Ordering::Relaxed);
@@ -179,7 +180,7 @@
     request: Request<Incoming>,
 ) -> Result<Response<AnswerBody>, BreakOff> {
     let (head, body) = request.into_parts();
-    let mut presence = Presence {
+    let mut guard = AbandonGuard {
         record: record.clone(),
         waiting: true,
     };
@@ -194,44 +195,44 @@
         list.push(seen);
     }
     let answer = answer(head.uri.path(), body).await;
-    presence.waiting = false;
+    guard.waiting = false;
     answer
 }
 
 async fn answer(path: &str, body: Bytes) -> Result<Response<AnswerBody>, BreakOff> {
-    let (order, argument) = path
+    let (behaviour, argument) = path
         .trim_start_matches('/')
         .split_once('/')
         .unwrap_or((path.trim_start_matches('/'), "0"));
     let number: u64 = argument.parse().unwrap_or(0);
-    match order {
+    match behaviour {
         "slow" => {
             tokio::time::sleep(Duration::from_millis(number)).await;
-            Ok(whole(StatusCode::OK, body))
+            Ok(response(StatusCode::OK, body))
         }
         "refuse" => {
-            let mut response = whole(StatusCode::SERVICE_UNAVAILABLE, Bytes::new());
-            let mark = http::HeaderValue::from_static("1");
-            response.headers_mut().insert("anvil-not-run", mark);
-            Ok(response)
+            let mut refusal = response(StatusCode::SERVICE_UNAVAILABLE, Bytes::new());
+            let not_run = http::HeaderValue::from_static("1");
+            refusal.headers_mut().insert("anvil-not-run", not_run);
+            Ok(refusal)
         }
         "drop" => Err(BreakOff),
-        "cut" => Ok(Response::new(cut().await)),
+        "cut" => Ok(Response::new(truncated().await)),
         "chunked" => Ok(Response::new(chunked(&body).await)),
         "bytes" => {
             let count = usize::try_from(number).unwrap_or(0);
-            Ok(whole(StatusCode::OK, Bytes::from(vec![b'x'; count])))
+            Ok(response(StatusCode::OK, Bytes::from(vec![b'x'; count])))
         }
         "status" => {
             let code = u16::try_from(number).unwrap_or(500);
             let status = StatusCode::from_u16(code).unwrap_or(StatusCode::IM_A_TEAPOT);
-            Ok(whole(status, body))
+            Ok(response(status, body))
         }
-        _ => Ok(whole(StatusCode::OK, body)),
+        _ => Ok(response(StatusCode::OK, body)),
     }
 }
 
-fn whole(status: StatusCode, body: Bytes) -> Response<AnswerBody> {
+fn response(status: StatusCode, body: Bytes) -> Response<AnswerBody> {
     let body = if body.is_empty() {
         Empty::new().map_err(never).boxed_unsync()
     } else {
@@ -257,13 +258,13 @@
     stream(receiver)
 }
 
-/// A first half, and then the end of the connection.
-async fn cut() -> AnswerBody {
+/// A body whose connection breaks after the first half.
+async fn truncated() -> AnswerBody {
     let (sender, receiver) = mpsc::channel(2);
     let half = Frame::data(Bytes::from_static(b"the first half"));
     let _ = sender.send(Ok(half)).await;
     tokio::spawn(async move {
-        // The first half has to leave before the connection breaks.
+        // The first half must be sent before the connection breaks.
         tokio::time::sleep(Duration::from_millis(20)).await;
         let _ = sender.send(Err(BreakOff)).await;
     });
--- a/crates/anvil_standins/src/ledger.rs
+++ b/crates/anvil_standins/src/ledger.rs
@@ -1,4 +1,4 @@
-//! What really ran and what callers were told, kept outside the system under test.
+//! Records of actual runs and of replies to callers, kept outside the system under test.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant, SystemTime};
@@ -10,62 +10,62 @@
 /// One run at a stand-in target.
 #[derive(Clone, Debug)]
 pub struct RunRecord {
-    /// The root request that it served, as told by the node.
+    /// The root request that it served, from the request's path.
     pub root: String,
     /// The service and the key of a non-idempotent action.
     pub key: Option<ident::RequestKey>,
-    /// The target that ran it, as the experiment names its place.
+    /// The experiment's name of the target that ran it.
     pub target: String,
-    /// The parent token that came with it: the run's number at the node that sent it, and a proof that
-    /// only that process could give, so that two runs of two processes are told apart.
+    /// The parent token that came with it: the run's number at the node that sent it, and a proof
+    /// that only that process can create, so that runs of different processes can be told apart.
     pub parent: String,
-    /// When it began, since the start of the ledger.
-    pub began: Duration,
-    /// When it ended; none while it runs.
+    /// When it started, since the start of the ledger.
+    pub started: Duration,
+    /// When it ended; none while it is running.
     pub ended: Option<Duration>,
-    /// Whether it ran to its end.
-    pub whole: bool,
+    /// Whether it completed.
+    pub completed: bool,
 }
 
 impl RunRecord {
-    /// Time the run held a slot.
-    pub fn held(&self) -> Duration {
+    /// How long the run held a slot.
+    pub fn slot_time(&self) -> Duration {
         self.ended
-            .map_or(Duration::ZERO, |ended| ended.saturating_sub(self.began))
+            .map_or(Duration::ZERO, |ended| ended.saturating_sub(self.started))
     }
 }
 
-/// Names one run of a ledger.
+/// Identifies one run of a ledger.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct RunPlace(usize);
+pub struct RunIndex(usize);
 
-/// How a caller's request ended in its own eyes.
+/// The result of a request, as its caller sees it.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum CallerOutcome {
-    /// A whole answer of its own.
+    /// The complete answer to its own request.
     #[display("whole")]
-    Whole,
-    /// An answer that belongs to another request or is incomplete.
+    Complete,
+    /// An answer to another request, or an incomplete one.
     #[display("foreign")]
     Foreign,
-    /// An answer of the target that reports a failure further down.
+    /// An answer of the target that reports a failure of a deeper service.
     #[display("failed")]
     Failed,
     /// Refused as not run.
     #[display("not-run")]
     NotRun,
-    /// Of unknown outcome.
+    /// The outcome is unknown.
     #[display("may-have-run")]
     MayHaveRun,
-    /// No answer in time.
+    /// There was no answer in time.
     #[display("silent")]
     Silent,
 }
 
-/// One send of a root request, and what its caller was told.
+/// One send of a root request, and its result.
 #[derive(Clone, Debug)]
 pub struct SendRecord {
-    /// The entry node that was asked last.
+    /// The entry node that was tried last.
     pub entry: std::net::SocketAddr,
     /// When it was sent, since the start of the ledger.
     pub sent: Duration,
@@ -73,16 +73,19 @@
     pub ended: Duration,
     /// How it ended.
     pub outcome: CallerOutcome,
-    /// Attempts that the entry node says it dispatched.
+    /// Attempts that the entry node reports.
     pub attempts: u32,
-    /// Why there was no answer, as told in the reply or seen on the connection.
+    /// Why there was no answer, from the reply or the connection error.
     pub reason: Option<String>,
 }
 
 impl SendRecord {
-    /// Whether the caller got neither its answer nor a proof that nothing ran.
+    /// Whether the caller got neither its answer nor a refusal as not run.
     pub fn is_cut(&self) -> bool {
-        !matches!(self.outcome, CallerOutcome::Whole | CallerOutcome::NotRun)
+        !matches!(
+            self.outcome,
+            CallerOutcome::Complete | CallerOutcome::NotRun
+        )
     }
 }
 
@@ -101,20 +104,20 @@
     pub ended: Duration,
     /// How it ended.
     pub outcome: CallerOutcome,
-    /// Each time the caller sent it.
+    /// All sends of the request.
     pub sends: Vec<SendRecord>,
-    /// Attempts that the entry node dispatched for the last send.
+    /// Attempts that the entry node reported for the last send.
     pub attempts: u32,
-    /// The place of the rule that decided, as told in the reply.
+    /// The index of the rule that decided, from the reply.
     pub rule: Option<String>,
-    /// Why there was no answer, as told in the reply.
+    /// Why there was no answer, from the reply.
     pub reason: Option<String>,
 }
 
-/// What one node process has used, from its start.
+/// The resource usage of one node process since its start.
 #[derive(Clone, Copy, Debug)]
 pub struct UsageRecord {
-    /// Processor time, of the user and of the system.
+    /// Processor time, user and system.
     pub cpu: Duration,
     /// Resident memory, in bytes.
     pub resident_bytes: u64,
@@ -124,47 +127,47 @@
 #[derive(Debug)]
 pub struct RunLedger {
     start: Instant,
-    /// The same moment, since the Unix epoch.
-    started: Duration,
-    /// What the ids of this experiment's root requests begin with; empty takes any.
+    /// The start as time since the Unix epoch.
+    unix_start: Duration,
+    /// Prefix of the ids of this experiment's root requests; if it is empty, every id matches.
     tag: String,
     usage: Mutex<Vec<UsageRecord>>,
     runs: Mutex<Vec<RunRecord>>,
-    /// The keys that have begun to run.
+    /// Keys that have started to run.
     keys: Mutex<sorted::SortedTable<ident::RequestKey, ()>>,
-    strangers: Mutex<Vec<RunRecord>>,
+    foreign_runs: Mutex<Vec<RunRecord>>,
     callers: Mutex<Vec<CallerRecord>>,
-    doubled: watch::Sender<bool>,
+    key_ran_twice: watch::Sender<bool>,
 }
 
 impl Default for RunLedger {
-    /// A ledger that takes every request for its own.
+    /// A ledger that accepts every request as its own.
     fn default() -> Self {
-        Self::tagged(String::new())
+        Self::with_tag(String::new())
     }
 }
 
 impl RunLedger {
-    /// A ledger of the requests whose ids begin with `tag`; runs of others count as strangers.
-    pub fn tagged(tag: String) -> Self {
+    /// A ledger of the requests whose ids begin with `tag`; other runs are recorded as foreign.
+    pub fn with_tag(tag: String) -> Self {
         Self {
             start: Instant::now(),
-            started: SystemTime::now()
+            unix_start: SystemTime::now()
                 .duration_since(SystemTime::UNIX_EPOCH)
                 .unwrap_or_default(),
             tag,
             usage: Mutex::default(),
             runs: Mutex::default(),
             keys: Mutex::default(),
-            strangers: Mutex::default(),
+            foreign_runs: Mutex::default(),
             callers: Mutex::default(),
-            doubled: watch::Sender::new(false),
+            key_ran_twice: watch::Sender::new(false),
         }
     }
 
-    /// The time of day at a time since the start, as node logs tell it: seconds of the Unix clock.
-    pub fn clock(&self, since: Duration) -> f64 {
-        (self.started + since).as_secs_f64()
+    /// Converts a time since the start to seconds since the Unix epoch, as in node logs.
+    pub fn unix_seconds(&self, since: Duration) -> f64 {
+        (self.unix_start + since).as_secs_f64()
     }
 
     /// Time since the start of the ledger.
@@ -172,45 +175,45 @@
         self.start.elapsed()
     }
 
-    /// Records that a run begins.
+    /// Records the start of a run.
     ///
-    /// It counts from its beginning, so that a second run of a key shows while both processes and
-    /// their logs are still there.
-    pub fn begin(&self, record: RunRecord) -> Option<RunPlace> {
+    /// A run counts from its start, so that a second run of a key is noticed while both processes
+    /// and their logs still exist.
+    pub fn begin(&self, record: RunRecord) -> Option<RunIndex> {
         if !record.root.starts_with(&self.tag) {
-            lock(&self.strangers).push(record);
+            lock(&self.foreign_runs).push(record);
             return None;
         }
         if let Some(key) = record.key
             && lock(&self.keys).insert(key, ()).is_some()
         {
-            self.doubled.send_replace(true);
+            self.key_ran_twice.send_replace(true);
         }
         let mut runs = lock(&self.runs);
         runs.push(record);
-        Some(RunPlace(runs.len() - 1))
+        Some(RunIndex(runs.len() - 1))
     }
 
     /// Records the end of a run.
-    pub fn end(&self, run: RunPlace, whole: bool) {
+    pub fn end(&self, run: RunIndex, completed: bool) {
         let now = self.now();
         if let Some(record) = lock(&self.runs).get_mut(run.0) {
             record.ended = Some(now);
-            record.whole = whole;
+            record.completed = completed;
         }
     }
 
     /// Records the end of a caller's request.
-    pub fn caller(&self, record: CallerRecord) {
+    pub fn record_caller(&self, record: CallerRecord) {
         lock(&self.callers).push(record);
     }
 
-    /// Records what a node has used.
-    pub fn used(&self, record: UsageRecord) {
+    /// Records a node's resource usage.
+    pub fn record_usage(&self, record: UsageRecord) {
         lock(&self.usage).push(record);
     }
 
-    /// What each node has used, as far as recorded.
+    /// The recorded resource usage of all nodes.
     pub fn usage(&self) -> Vec<UsageRecord> {
         lock(&self.usage).clone()
     }
@@ -221,8 +224,8 @@
     }
 
     /// Runs of requests that no caller of this experiment sent.
-    pub fn strangers(&self) -> Vec<RunRecord> {
-        lock(&self.strangers).clone()
+    pub fn foreign_runs(&self) -> Vec<RunRecord> {
+        lock(&self.foreign_runs).clone()
     }
 
     /// All ended requests so far.
@@ -230,23 +233,23 @@
         lock(&self.callers).clone()
     }
 
-    /// Turns true with the first second run of a key.
-    pub fn doubled(&self) -> watch::Receiver<bool> {
-        self.doubled.subscribe()
+    /// Becomes true when a key runs for the second time.
+    pub fn key_ran_twice(&self) -> watch::Receiver<bool> {
+        self.key_ran_twice.subscribe()
     }
 
     /// The runs of keys that ran more than once, key by key.
-    pub fn doubled_runs(&self) -> Vec<RunRecord> {
+    pub fn repeated_key_runs(&self) -> Vec<RunRecord> {
         let mut runs = self.runs();
         runs.retain(|run| run.key.is_some());
         runs.sort_by_key(|run| run.key);
         let groups = runs.chunk_by(|left, right| left.key == right.key);
-        let doubled = groups.filter(|group| group.len() > 1);
-        doubled.flatten().cloned().collect()
+        let repeated = groups.filter(|group| group.len() > 1);
+        repeated.flatten().cloned().collect()
     }
 
-    /// The most runs that any key of a non-idempotent action has seen.
-    pub fn most_runs_per_key(&self) -> usize {
+    /// The largest number of runs of any key of a non-idempotent action.
+    pub fn max_runs_per_key(&self) -> usize {
         let mut keys: Vec<_> = lock(&self.runs).iter().filter_map(|run| run.key).collect();
         keys.sort_unstable();
         let groups = keys.chunk_by(|left, right| left == right);
@@ -254,7 +257,7 @@
     }
 }
 
-/// A panicked writer leaves whole records behind, so a poisoned lock is still readable.
-fn lock<Kept>(mutex: &Mutex<Kept>) -> MutexGuard<'_, Kept> {
+/// Ignores poisoning: records are written as a whole, so they stay readable after a writer's panic.
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/anvil_standins/src/lib.rs
+++ b/crates/anvil_standins/src/lib.rs
@@ -1,13 +1,13 @@
-//! Stand-ins for everything outside the system: callers, targets and the platform's store.
+//! Stand-ins for the system's environment: callers, targets and the platform's store.
 //!
-//! No binary links this package; tests, the demo and the experiment tool do.
+//! Only tests, the demo and the experiment tool use this package.
 
 pub mod client;
 pub mod experiment;
-pub mod ground;
 pub mod http_target;
 pub mod ledger;
 pub mod load;
+pub mod loopback;
 pub mod mesh;
 pub mod mesh_target;
 pub mod process;
--- a/crates/anvil_standins/src/load.rs
+++ b/crates/anvil_standins/src/load.rs
@@ -9,36 +9,37 @@
 
 use crate::{client, ledger, mesh, mesh_target, scenario};
 
-/// Requests that stand-in callers keep open at once, over all entry nodes.
+/// Limit of open requests of all stand-in callers.
 ///
-/// Without a bound the naive version's backlog would exhaust the machine's sockets.
-pub const OPEN_LIMIT: usize = 8_000;
+/// Without it, the backlog of the naive policy would exhaust the machine's sockets.
+pub const MAX_OPEN_REQUESTS: usize = 8_000;
 
-/// Addresses that a caller tries where connections are refused, all within one send.
-const ADDRESS_TRIES: usize = 8;
+/// Addresses that a caller tries within one send if connections are refused.
+const MAX_ADDRESSES_TRIED: usize = 8;
 
-/// Everything a load needs.
+/// The configuration of a load.
 #[derive(Clone, Debug)]
 pub struct LoadPlan {
     /// The mesh, for the kinds of requests.
     pub mesh: Arc<mesh::MeshPlan>,
-    /// Rates and habits.
+    /// The scenario, for rates and callers' behaviour.
     pub scenario: Arc<scenario::ScenarioPlan>,
     /// Entry nodes; each send goes to one at random.
     pub entries: Arc<Vec<SocketAddr>>,
-    /// Where outcomes go.
+    /// Records the outcomes.
     pub ledger: Arc<ledger::RunLedger>,
-    /// Feeds arrivals, kinds and entry nodes.
+    /// Seed for arrivals, kinds and entry nodes.
     pub seed: u64,
-    /// What the ids of root requests begin with, in hexadecimal digits; see [`root_tag`].
+    /// Prefix of the ids of root requests, in hexadecimal digits; see [`root_tag`].
     pub tag: String,
 }
 
-/// What the ids of an experiment's root requests begin with: its seed, and its block of addresses.
+/// The prefix of the ids of an experiment's root requests: its seed and the number of its address
+/// block.
 ///
-/// Failure: two experiments of one seed give their requests the same ids. Symptom: a run that strayed
-/// from one to the other is taken for a second run of a key. Experiments at one time hold different
-/// blocks, so a stray request is known by its id.
+/// With the seed alone, two experiments of one seed would use the same ids, and a request that
+/// reached the wrong experiment would count as a second run of a key. Concurrent experiments have
+/// different blocks, so such a request is recognized by its id.
 pub fn root_tag(seed: u64, block: u16) -> String {
     format!(
         "{:012x}{block:04x}",
@@ -46,12 +47,12 @@
     )
 }
 
-/// Sends requests until the scenario's end and waits for the last one.
+/// Sends requests until the scenario's end and waits until all have ended.
 pub async fn run_load(plan: LoadPlan, start: Instant) {
     let mut rng = rand_pcg::Pcg64Mcg::seed_from_u64(plan.seed);
-    let client = client::KeptClient::default();
+    let client = client::PooledClient::default();
     let end = plan.scenario.times().end;
-    let gate = Arc::new(tokio::sync::Semaphore::new(OPEN_LIMIT));
+    let permits = Arc::new(tokio::sync::Semaphore::new(MAX_OPEN_REQUESTS));
     let mut next = Duration::ZERO;
     let mut sequence = 0_u64;
     let mut open = tokio::task::JoinSet::new();
@@ -62,7 +63,7 @@
             kind: rng.next_u64(),
             entry: rng.next_u64(),
         };
-        if let Ok(permit) = Arc::clone(&gate).try_acquire_owned() {
+        if let Ok(permit) = Arc::clone(&permits).try_acquire_owned() {
             let caller = CallerTask {
                 plan: plan.clone(),
                 client: client.clone(),
@@ -82,10 +83,10 @@
     while open.join_next().await.is_some() {}
 }
 
-/// Sends `poison` to a service at a rate while the pressure lasts, each time the same request to
-/// another entry node.
+/// Sends the same poisonous request to a service at a fixed rate during the overload, each time
+/// through another entry node.
 pub async fn run_poison(plan: LoadPlan, service: String, rate: f64, start: Instant) {
-    let client = client::KeptClient::default();
+    let client = client::PooledClient::default();
     let times = plan.scenario.times();
     let mut next = times.pressure;
     let mut turn = 0_usize;
@@ -104,7 +105,7 @@
             body: Bytes::new(),
             timeout: Duration::from_secs(2),
         };
-        // What the poisonous caller is told is of no interest; what its targets suffer is.
+        // The reply does not matter, only the effect on the targets.
         let _ = client.send(request).await;
         turn += 1;
         next = start
@@ -131,7 +132,7 @@
 
 struct CallerTask {
     plan: LoadPlan,
-    client: client::KeptClient,
+    client: client::PooledClient,
     root: String,
     draws: CallerDraws,
     start: Instant,
@@ -140,39 +141,39 @@
 impl CallerTask {
     async fn run(self) {
         let sent = self.start.elapsed();
-        let habits = self.plan.scenario.callers;
+        let behaviour = self.plan.scenario.callers;
         let request = self.plan.mesh.pick(self.draws.kind).clone();
         let mut sends = Vec::new();
-        let ending = loop {
+        let result = loop {
             let turn = u32::try_from(sends.len()).unwrap_or(u32::MAX);
-            let began = self.plan.ledger.now();
-            let ending = self.send(&request, turn, habits).await;
+            let sent_at = self.plan.ledger.now();
+            let result = self.send(&request, turn, behaviour).await;
             sends.push(ledger::SendRecord {
-                entry: ending.entry,
-                sent: began,
+                entry: result.entry,
+                sent: sent_at,
                 ended: self.plan.ledger.now(),
-                outcome: ending.outcome,
-                attempts: ending.attempts,
-                reason: ending.reason.clone(),
+                outcome: result.outcome,
+                attempts: result.attempts,
+                reason: result.reason.clone(),
             });
-            if ending.outcome == ledger::CallerOutcome::Whole || turn >= habits.resends {
-                break ending;
+            if result.outcome == ledger::CallerOutcome::Complete || turn >= behaviour.resends {
+                break result;
             }
-            tokio::time::sleep(Duration::from_millis(habits.pause_ms)).await;
+            tokio::time::sleep(Duration::from_millis(behaviour.pause_ms)).await;
         };
         let kinds = &self.plan.mesh.requests;
         let kind = kinds.iter().position(|other| other.kind == request.kind);
-        self.plan.ledger.caller(ledger::CallerRecord {
+        self.plan.ledger.record_caller(ledger::CallerRecord {
             root: self.root.clone(),
             kind: kind.unwrap_or(0),
             class: request.class,
             sent,
             ended: self.start.elapsed(),
-            outcome: ending.outcome,
+            outcome: result.outcome,
             sends,
-            attempts: ending.attempts,
-            rule: ending.rule,
-            reason: ending.reason,
+            attempts: result.attempts,
+            rule: result.rule,
+            reason: result.reason,
         });
     }
 
@@ -180,13 +181,13 @@
         &self,
         request: &mesh::RequestPlan,
         sends: u32,
-        habits: scenario::CallerPlan,
-    ) -> SendEnding {
+        behaviour: scenario::CallerPlan,
+    ) -> SendResult {
         let path = format!("/{}/{}", request.step, self.root);
         let mut headers = vec![
             (client::SERVICE_HEADER, request.service.to_string()),
             (client::REQUEST_HEADER, self.root.clone()),
-            (client::TIMEOUT_HEADER, habits.timeout_ms.to_string()),
+            (client::TIMEOUT_HEADER, behaviour.timeout_ms.to_string()),
         ];
         if request.method == "POST" {
             headers.push((client::KEY_HEADER, self.root.clone()));
@@ -197,30 +198,31 @@
             path: &path,
             headers: &headers,
             body: Bytes::new(),
-            // The node answers at its deadline; a little later the caller gives up by itself.
-            timeout: Duration::from_millis(habits.timeout_ms + 100),
+            // The node answers at its deadline; the caller times out slightly later.
+            timeout: Duration::from_millis(behaviour.timeout_ms + 100),
         };
-        for refused in 1..=ADDRESS_TRIES {
+        for refused in 1..=MAX_ADDRESSES_TRIED {
             match self.client.send(sent.clone()).await {
-                Ok(answer) => return self.judge(sent.address, &answer),
+                Ok(answer) => return self.classify(sent.address, &answer),
                 Err(error) if error.is_refused() => {
                     sent.address = self.entry(sends as usize + refused);
                 }
-                Err(error) => return SendEnding::silent(sent.address, error.to_string()),
+                Err(error) => return SendResult::silent(sent.address, error.to_string()),
             }
         }
-        SendEnding::silent(sent.address, "no address takes connections".to_owned())
+        SendResult::silent(sent.address, "no address accepts connections".to_owned())
     }
 
-    /// Each further try goes to another entry node, as a caller behind a list of addresses does.
-    fn entry(&self, tries: usize) -> SocketAddr {
+    /// The entry node of an attempt. Each attempt uses the next one, like a caller with a list of
+    /// addresses.
+    fn entry(&self, attempt: usize) -> SocketAddr {
         let entries = &self.plan.entries;
-        entries[(self.draws.entry as usize).wrapping_add(tries) % entries.len()]
+        entries[(self.draws.entry as usize).wrapping_add(attempt) % entries.len()]
     }
 
-    fn judge(&self, entry: SocketAddr, answer: &client::ClientAnswer) -> SendEnding {
+    fn classify(&self, entry: SocketAddr, answer: &client::ClientAnswer) -> SendResult {
         let attempts = answer.header(client::ATTEMPTS_HEADER);
-        SendEnding {
+        SendResult {
             entry,
             outcome: self.outcome_of(answer),
             attempts: attempts.and_then(|text| text.parse().ok()).unwrap_or(0),
@@ -232,9 +234,9 @@
     fn outcome_of(&self, answer: &client::ClientAnswer) -> ledger::CallerOutcome {
         match (answer.status, answer.header(client::OUTCOME_HEADER)) {
             (200, _) => {
-                let expected = format!("{}{}", mesh_target::WHOLE_MARK, self.root);
+                let expected = format!("{}{}", mesh_target::ANSWER_PREFIX, self.root);
                 if answer.body == expected.as_bytes() {
-                    ledger::CallerOutcome::Whole
+                    ledger::CallerOutcome::Complete
                 } else {
                     ledger::CallerOutcome::Foreign
                 }
@@ -246,8 +248,8 @@
     }
 }
 
-/// How one send ended.
-struct SendEnding {
+/// The result of one send.
+struct SendResult {
     entry: SocketAddr,
     outcome: ledger::CallerOutcome,
     attempts: u32,
@@ -255,7 +257,7 @@
     reason: Option<String>,
 }
 
-impl SendEnding {
+impl SendResult {
     fn silent(entry: SocketAddr, reason: String) -> Self {
         Self {
             entry,
--- a/crates/anvil_standins/src/mesh.rs
+++ b/crates/anvil_standins/src/mesh.rs
@@ -1,18 +1,18 @@
-//! A user's mesh as data: its zones, services, requests and what each request calls.
+//! Description of a user's mesh: its zones, services, requests and the calls of each request.
 
 use anvil_types::{context, name};
 use derive_more::{Display, Error};
 use serde::Deserialize;
 
-/// One mesh, read from a `mesh.yaml`.
+/// One mesh, as described in a `mesh.yaml`.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MeshPlan {
     /// The mesh's name.
     pub name: String,
-    /// The region all zones lie in.
+    /// The region of all zones.
     pub region: name::RegionName,
-    /// Availability zones; the instances of each service are dealt to them in turn.
+    /// Availability zones; the instances of each service are distributed over them in turn.
     pub zones: Vec<name::ZoneName>,
     /// Services.
     pub services: Vec<ServicePlan>,
@@ -24,17 +24,17 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServicePlan {
-    /// Its name.
+    /// The service's name.
     pub name: name::ServiceName,
     /// Number of targets.
     pub instances: usize,
-    /// Requests that each target runs at once.
+    /// Concurrent requests of each target.
     pub slots: u32,
     /// Connections that each target accepts.
     pub connections: u32,
     /// Mean time of the target's own work for one request, in milliseconds.
     pub work_ms: f64,
-    /// What a request calls on its way, by the request's step.
+    /// The calls that a request makes, by the request's step.
     #[serde(default)]
     pub steps: Vec<StepPlan>,
 }
@@ -43,9 +43,9 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StepPlan {
-    /// The step, as it stands first in the request's path.
+    /// The step, which is the first segment of the request's path.
     pub step: String,
-    /// Calls made one after the other.
+    /// Calls made in sequence.
     pub calls: Vec<StepCall>,
 }
 
@@ -57,7 +57,7 @@
     pub service: name::ServiceName,
     /// HTTP method.
     pub method: String,
-    /// The step asked for.
+    /// The requested step.
     pub step: String,
 }
 
@@ -67,32 +67,32 @@
 pub struct RequestPlan {
     /// The kind's name, for reports.
     pub kind: String,
-    /// The service asked for.
+    /// The called service.
     pub service: name::ServiceName,
     /// HTTP method.
     pub method: String,
-    /// The step asked for.
+    /// The requested step.
     pub step: String,
     /// Share of all root requests, relative to the other kinds.
     pub weight: u32,
-    /// The class that the rules give it, for reports only.
+    /// The class that the rules assign to it, for reports only.
     pub class: context::PriorityClass,
 }
 
-/// Why a mesh was refused.
+/// Why a mesh is invalid.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Error)]
 pub enum MeshError {
-    /// The text is no mesh.
+    /// The text can't be parsed as a mesh.
     #[display("{reason}")]
     Text {
-        /// What the parser said, with the place.
+        /// The parser's message, with the position.
         #[error(not(source))]
         reason: String,
     },
-    /// A call or request names a service that the mesh lacks.
+    /// A call or request names a service that is not defined.
     #[display("service {service} is named but not defined")]
     Service {
-        /// The name.
+        /// The undefined service.
         service: name::ServiceName,
     },
     /// No request has a weight.
@@ -101,7 +101,7 @@
 }
 
 impl MeshPlan {
-    /// Reads and checks a mesh.
+    /// Parses and checks a mesh.
     pub fn parse(text: &str) -> Result<Self, MeshError> {
         let plan: Self = serde_saphyr::from_str(text).map_err(|error| MeshError::Text {
             reason: error.to_string(),
@@ -113,8 +113,8 @@
     fn check(&self) -> Result<(), MeshError> {
         let steps = self.services.iter().flat_map(|service| &service.steps);
         let called = steps.flat_map(|step| &step.calls).map(|call| &call.service);
-        let asked = self.requests.iter().map(|request| &request.service);
-        for service in called.chain(asked) {
+        let requested = self.requests.iter().map(|request| &request.service);
+        for service in called.chain(requested) {
             if self.service(service).is_none() {
                 let service = service.clone();
                 return Err(MeshError::Service { service });
@@ -126,15 +126,15 @@
         Ok(())
     }
 
-    /// The service of that name.
+    /// The service with the given name.
     pub fn service(&self, wanted: &name::ServiceName) -> Option<&ServicePlan> {
         self.services.iter().find(|plan| plan.name == *wanted)
     }
 
-    /// The kind that a number below the sum of all weights falls on.
-    pub fn pick(&self, draw: u64) -> &RequestPlan {
+    /// Picks a kind of request by a random number, in proportion to the weights.
+    pub fn pick(&self, random: u64) -> &RequestPlan {
         let total: u64 = self.requests.iter().map(|r| u64::from(r.weight)).sum();
-        let mut left = draw % total.max(1);
+        let mut left = random % total.max(1);
         for request in &self.requests {
             if left < u64::from(request.weight) {
                 return request;
--- a/crates/anvil_standins/src/mesh_target.rs
+++ b/crates/anvil_standins/src/mesh_target.rs
@@ -1,4 +1,4 @@
-//! A stand-in target: slots, work time, calls of its own, cold starts, slowness, crashes, drains.
+//! A stand-in target with slots, work time, calls of its own, cold starts, slowness and crashes.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -19,29 +19,29 @@
 
 use crate::{client, ledger, mesh};
 
-/// How long a run of a target lasts at most; it bounds what a broken experiment can hold up.
-const RUN_LIMIT: Duration = Duration::from_secs(60);
+/// Longest wait of a target for one of its calls, so that a broken experiment still ends.
+const CALL_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// What a target prints in front of the root request's id in every whole answer.
-pub const WHOLE_MARK: &str = "whole:";
+/// Precedes the root request's id in every complete answer.
+pub const ANSWER_PREFIX: &str = "whole:";
 
-/// A path that starts with this step crashes the target that runs it.
+/// A request whose path starts with this step crashes the target that runs it.
 pub const POISON_STEP: &str = "poison";
 
-/// What a stand-in target is asked to be.
+/// The configuration of a stand-in target.
 #[derive(Clone, Debug)]
 pub struct TargetPlan {
-    /// Names it in the ledger.
+    /// Its name in the ledger.
     pub name: String,
     /// The service, its slots, work and calls.
     pub service: mesh::ServicePlan,
-    /// Feeds the spread of work times.
+    /// Seed of the random work times.
     pub seed: u64,
-    /// How long after its start a target is slow, and by how much at first.
+    /// How long and by how much a target is slow after its start.
     pub cold: ColdStart,
 }
 
-/// A cold start: work takes `factor` times as long at first, falling evenly to one.
+/// A cold start: work takes `factor` times as long at first, which falls linearly to one.
 #[derive(Clone, Copy, Debug)]
 pub struct ColdStart {
     /// How long it lasts.
@@ -66,20 +66,20 @@
     }
 }
 
-/// A running stand-in target and the switches of its faults.
+/// A running stand-in target, with methods that inject faults.
 #[derive(Debug)]
 pub struct MeshTarget {
     plan: TargetPlan,
     address: SocketAddr,
-    gate: Arc<Semaphore>,
+    slots: Arc<Semaphore>,
     started: Mutex<Instant>,
     slowness_permille: AtomicU64,
-    broken: AtomicBool,
+    down: AtomicBool,
     poisoned: AtomicBool,
     crashes: AtomicU64,
     shutdown: watch::Sender<bool>,
     node: OnceLock<SocketAddr>,
-    client: client::KeptClient,
+    client: client::PooledClient,
     ledger: Arc<ledger::RunLedger>,
     rng: Mutex<rand_pcg::Pcg64Mcg>,
 }
@@ -87,7 +87,7 @@
 impl MeshTarget {
     /// Binds `address` and starts to serve on the current runtime.
     ///
-    /// Fails where it can't be bound.
+    /// Fails if it can't be bound.
     pub async fn start(
         plan: TargetPlan,
         address: SocketAddr,
@@ -97,15 +97,15 @@
         let slots = plan.service.slots as usize;
         let target = Arc::new(Self {
             address: listener.local_addr()?,
-            gate: Arc::new(Semaphore::new(slots)),
+            slots: Arc::new(Semaphore::new(slots)),
             started: Mutex::new(Instant::now()),
             slowness_permille: AtomicU64::new(1_000),
-            broken: AtomicBool::new(false),
+            down: AtomicBool::new(false),
             poisoned: AtomicBool::new(false),
             crashes: AtomicU64::new(0),
             shutdown: watch::Sender::new(false),
             node: OnceLock::new(),
-            client: client::KeptClient::default(),
+            client: client::PooledClient::default(),
             ledger,
             rng: Mutex::new(rand_pcg::Pcg64Mcg::seed_from_u64(plan.seed)),
             plan,
@@ -134,7 +134,7 @@
         self.plan.service.connections
     }
 
-    /// Ends the cold start of a target that has only just started.
+    /// Ends the cold start of a target that has just started.
     pub fn warm_up(&self) {
         let mut started = self.started.lock().unwrap_or_else(PoisonError::into_inner);
         *started = started.checked_sub(self.plan.cold.span).unwrap_or(*started);
@@ -146,14 +146,14 @@
         started.elapsed() >= self.plan.cold.span
     }
 
-    /// Whether its last crash was the work of a request.
+    /// Whether its last crash was caused by a request.
     pub fn poisoned(&self) -> bool {
         self.poisoned.load(Ordering::SeqCst)
     }
 
-    /// Names the node beside it, which its own calls go to.
+    /// Sets the local node, to which its own calls are sent.
     pub fn set_node(&self, caller_address: SocketAddr) {
-        // A target has one node for life; a second call changes nothing.
+        // A target has one node address for its lifetime; a second call has no effect.
         let _ = self.node.set(caller_address);
     }
 
@@ -163,19 +163,19 @@
         self.slowness_permille.store(permille, Ordering::Relaxed);
     }
 
-    /// Cuts every connection and refuses new ones until [`MeshTarget::restart`].
+    /// Closes every connection and refuses new ones until [`MeshTarget::restart`].
     pub fn crash(&self) {
-        self.broken.store(true, Ordering::SeqCst);
+        self.down.store(true, Ordering::SeqCst);
         self.crashes.fetch_add(1, Ordering::SeqCst);
         self.shutdown.send_replace(true);
     }
 
-    /// Comes back cold after a crash.
+    /// Restarts cold after a crash.
     pub fn restart(&self) {
         *self.started.lock().unwrap_or_else(PoisonError::into_inner) = Instant::now();
         self.poisoned.store(false, Ordering::SeqCst);
         self.shutdown.send_replace(false);
-        self.broken.store(false, Ordering::SeqCst);
+        self.down.store(false, Ordering::SeqCst);
     }
 
     /// Crashes so far.
@@ -185,11 +185,11 @@
 
     /// Whether it is down.
     pub fn is_down(&self) -> bool {
-        self.broken.load(Ordering::SeqCst)
+        self.down.load(Ordering::SeqCst)
     }
 
-    /// A work time: exponential around the mean, at most five times as long.
-    fn work(&self) -> Duration {
+    /// A random work time: exponentially distributed, at most five times the mean.
+    fn work_time(&self) -> Duration {
         let draw = {
             let mut rng = self.rng.lock().unwrap_or_else(PoisonError::into_inner);
             (rng.next_u64() >> 11) as f64 / (1_u64 << 53) as f64
@@ -208,30 +208,33 @@
         &self,
         request: http::Request<Incoming>,
     ) -> Result<http::Response<Full<Bytes>>, Infallible> {
-        let order = RunOrder::of(&request);
-        // The body belongs to the request even where the stand-in has no use for it.
+        let order = RunRequest::of(&request);
+        // The body must be read even though it is not used.
         let body = request.into_body().collect().await;
         if body.is_err() {
-            return Ok(answer(400, "the body broke off".to_owned()));
+            return Ok(answer(400, "the body is incomplete".to_owned()));
         }
         if order.step == POISON_STEP {
             self.poisoned.store(true, Ordering::SeqCst);
             self.crash();
         }
-        let Ok(_slot) = self.gate.acquire().await else {
+        let Ok(_slot) = self.slots.acquire().await else {
             return Ok(answer(503, "shutting down".to_owned()));
         };
         let mut guard = RunGuard::start(&self.ledger, &order, &self.plan);
-        tokio::time::sleep(self.work()).await;
-        if let Err(status) = self.call_on(&order).await {
-            return Ok(answer(status, "a call further down failed".to_owned()));
+        tokio::time::sleep(self.work_time()).await;
+        if let Err(status) = self.make_calls(&order).await {
+            return Ok(answer(
+                status,
+                "a call to a deeper service failed".to_owned(),
+            ));
         }
-        guard.whole = true;
-        Ok(answer(200, format!("{WHOLE_MARK}{}", order.root)))
+        guard.completed = true;
+        Ok(answer(200, format!("{ANSWER_PREFIX}{}", order.root)))
     }
 
-    /// Makes the calls of the step, one after the other; fails with the status to pass on.
-    async fn call_on(&self, order: &RunOrder) -> Result<(), u16> {
+    /// Makes the calls of the step in sequence; fails with the status to return.
+    async fn make_calls(&self, order: &RunRequest) -> Result<(), u16> {
         let steps = &self.plan.service.steps;
         let Some(step) = steps.iter().find(|step| step.step == order.step) else {
             return Ok(());
@@ -254,7 +257,7 @@
                 path: &path,
                 headers: &headers,
                 body: Bytes::new(),
-                timeout: RUN_LIMIT,
+                timeout: CALL_TIMEOUT,
             };
             match self.client.send(request).await {
                 Ok(answer) if answer.status == 200 => {}
@@ -266,9 +269,9 @@
     }
 }
 
-/// What a request says about itself.
+/// The properties of a request that the target uses.
 #[derive(Debug)]
-struct RunOrder {
+struct RunRequest {
     step: String,
     root: String,
     parent: String,
@@ -276,7 +279,7 @@
     method: String,
 }
 
-impl RunOrder {
+impl RunRequest {
     fn of(request: &http::Request<Incoming>) -> Self {
         let header = |name: &str| {
             let value = request.headers().get(name);
@@ -295,38 +298,38 @@
     }
 }
 
-/// Records the run when it ends, also where its connection is cut in the middle.
+/// Records the end of a run, also if its connection breaks in the middle.
 struct RunGuard<'run> {
     ledger: &'run ledger::RunLedger,
-    place: Option<ledger::RunPlace>,
-    whole: bool,
+    index: Option<ledger::RunIndex>,
+    completed: bool,
 }
 
 impl<'run> RunGuard<'run> {
-    fn start(ledger: &'run ledger::RunLedger, order: &RunOrder, plan: &TargetPlan) -> Self {
+    fn start(ledger: &'run ledger::RunLedger, order: &RunRequest, plan: &TargetPlan) -> Self {
         let action = order.key.as_ref().filter(|_| order.method == "POST");
         let service = plan.service.name.as_str();
-        let place = ledger.begin(ledger::RunRecord {
+        let index = ledger.begin(ledger::RunRecord {
             root: order.root.clone(),
             key: action.map(|key| ident::RequestKey::of(service, key.as_bytes())),
             target: plan.name.clone(),
             parent: order.parent.clone(),
-            began: ledger.now(),
+            started: ledger.now(),
             ended: None,
-            whole: false,
+            completed: false,
         });
         Self {
             ledger,
-            place,
-            whole: false,
+            index,
+            completed: false,
         }
     }
 }
 
 impl Drop for RunGuard<'_> {
     fn drop(&mut self) {
-        if let Some(place) = self.place {
-            self.ledger.end(place, self.whole);
+        if let Some(index) = self.index {
+            self.ledger.end(index, self.completed);
         }
     }
 }
--- a/crates/anvil_standins/src/process.rs
+++ b/crates/anvil_standins/src/process.rs
@@ -1,4 +1,4 @@
-//! A real node process, started and ended by tests and experiments.
+//! A real node process, started and stopped by tests and experiments.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -13,49 +13,50 @@
 
 use crate::ledger;
 
-/// Longest wait for a process to say that it serves.
-const READY_WAIT: Duration = Duration::from_secs(10);
+/// Longest wait for a process to become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// One tick of the processor times that the system tells.
+/// One tick of the processor times in proc(5).
 const TICK: Duration = Duration::from_millis(10);
 
 /// Longest wait for a graceful stop.
-const STOP_WAIT: Duration = Duration::from_secs(30);
+const STOP_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Longest wait for a process to stop where it stands.
-const PAUSE_LIMIT: Duration = Duration::from_secs(5);
+/// Longest wait for all threads of a process to be suspended.
+const PAUSE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Logs kept for one name in one folder; far more than the starts of any run.
-const MOST_STARTS: u32 = 100_000;
+/// Limit of logs with one name in one folder; far more than the starts of any run.
+const MAX_STARTS: u32 = 100_000;
 
-/// Pause between two looks at a process.
-const LOOK_PAUSE: Duration = Duration::from_millis(5);
+/// Interval between two checks of a process.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Where a node listens, as it says in its ready file.
+/// The listening addresses of a node, from its ready file.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub struct NodeAddresses {
-    /// Callers.
+    /// For callers.
     pub caller: SocketAddr,
-    /// Operators and the local target.
+    /// For operators and the local target.
     pub admin: SocketAddr,
-    /// Other nodes, over TCP.
+    /// For other nodes over TCP.
     pub peer: SocketAddr,
-    /// Other nodes, over UDP.
+    /// For other nodes over UDP.
     pub gossip: SocketAddr,
 }
 
-/// A node under experiment, in a process of its own or in this one.
+/// A node of an experiment, in its own process or in this one.
 pub trait NodeHandle: Send {
     /// Where it listens.
     fn addresses(&self) -> NodeAddresses;
 
-    /// Ends it without notice and waits for its end.
+    /// Kills it and waits until it has ended.
     fn kill(&mut self);
 
-    /// Processor time and memory so far; none where the node has no process of its own.
+    /// Its processor time and memory so far; none if the node has no process of its own.
     fn usage(&self) -> Option<ledger::UsageRecord>;
 
-    /// Stops it gracefully and waits for its end; fails where it does not end in time or badly.
+    /// Stops it gracefully and waits until it has ended. Fails if that takes too long or ends with
+    /// an error.
     fn stop(&mut self) -> eyre::Result<()>;
 }
 
@@ -80,13 +81,13 @@
 
     fn stop(&mut self) -> eyre::Result<()> {
         self.terminate()?;
-        let clean = self.wait_end(STOP_WAIT)?;
+        let clean = self.wait_end(STOP_TIMEOUT)?;
         ensure!(clean, "the process ended with an error");
         Ok(())
     }
 }
 
-/// A node process; it is killed when dropped.
+/// A node process, which is killed when dropped.
 #[derive(Debug)]
 pub struct NodeProcess {
     child: Child,
@@ -94,23 +95,23 @@
     log: PathBuf,
 }
 
-/// What a node process is started from.
+/// How to start a node process.
 #[derive(Clone, Debug)]
 pub struct ProcessPlan<'plan> {
     /// The node's program.
     pub binary: &'plan Path,
-    /// Where its files go.
+    /// The folder of its files.
     pub folder: &'plan Path,
-    /// Names its files. Each start has files of its own, `NAME.1.log` and on.
+    /// The name of its files. Each start has its own files, beginning with `NAME.1.log`.
     pub name: &'plan str,
     /// Its settings, as YAML.
     pub settings: &'plan str,
 }
 
 impl NodeProcess {
-    /// Starts a node and waits until it serves.
+    /// Starts a node and waits until it is ready.
     ///
-    /// Fails where the process ends or doesn't serve in time; its log stands in `folder`.
+    /// Fails if the process ends or isn't ready in time; its log stays in `folder`.
     pub fn start(plan: &ProcessPlan<'_>) -> eyre::Result<Self> {
         let files = StartFiles::claim(plan)?;
         fs::write(&files.settings, plan.settings).wrap_err("the settings can't be written")?;
@@ -127,11 +128,11 @@
         let addresses = match wait_ready(&mut child, &files.ready) {
             Ok(addresses) => addresses,
             Err(error) => {
-                let standing = standing(child.id());
+                let threads = thread_states(child.id());
                 end(&mut child);
                 let log = fs::read_to_string(&files.log).unwrap_or_else(|error| error.to_string());
                 let name = plan.name;
-                return Err(error.wrap_err(format!("node {name}: {standing}; its log: {log}")));
+                return Err(error.wrap_err(format!("node {name}: {threads}; its log: {log}")));
             }
         };
         Ok(Self {
@@ -151,41 +152,41 @@
         &self.addresses
     }
 
-    /// Kills it without notice and waits for its end.
+    /// Kills it and waits until it has ended.
     pub fn kill(&mut self) {
         end(&mut self.child);
     }
 
-    /// Asks it to stop gracefully.
+    /// Requests a graceful stop.
     pub fn terminate(&self) -> eyre::Result<()> {
         self.signal(signal::Signal::SIGTERM)
     }
 
-    /// Freezes it where it stands, and waits until each of its threads has stopped.
+    /// Suspends it and waits until each of its threads has stopped.
     ///
-    /// The signal is sent before it is acted on: a thread that runs on another processor goes on for
-    /// a moment, and a request that is sent at once may still be answered.
+    /// The signal takes effect with a delay: a thread that runs on another processor continues for
+    /// a moment, and a request that is sent at once could still be answered.
     pub fn pause(&self) -> eyre::Result<()> {
         self.signal(signal::Signal::SIGSTOP)?;
-        let until = Instant::now() + PAUSE_LIMIT;
+        let until = Instant::now() + PAUSE_TIMEOUT;
         while !self.is_stopped()? {
             ensure!(Instant::now() < until, "the process does not stop");
-            thread::sleep(LOOK_PAUSE);
+            thread::sleep(POLL_INTERVAL);
         }
         Ok(())
     }
 
-    /// Whether each thread is stopped, as proc(5) tells it behind the name in brackets.
+    /// Whether each thread is stopped, by the state after the name in parentheses, see proc(5).
     fn is_stopped(&self) -> eyre::Result<bool> {
         let tasks = format!("/proc/{}/task", self.child.id());
         for task in fs::read_dir(tasks)? {
-            let told = match fs::read_to_string(task?.path().join("stat")) {
-                Ok(told) => told,
-                // A thread that ended between the two reads has not stopped; the next look tells.
+            let stat = match fs::read_to_string(task?.path().join("stat")) {
+                Ok(stat) => stat,
+                // A thread ended between the two reads; the next check decides.
                 Err(error) if matches!(error.kind(), io::ErrorKind::NotFound) => return Ok(false),
                 Err(error) => return Err(error.into()),
             };
-            let state = told.rsplit(')').next().unwrap_or_default();
+            let state = stat.rsplit(')').next().unwrap_or_default();
             if !state.trim_start().starts_with('T') {
                 return Ok(false);
             }
@@ -193,19 +194,19 @@
         Ok(true)
     }
 
-    /// Lets it go on.
+    /// Resumes it after [`Self::pause`].
     pub fn resume(&self) -> eyre::Result<()> {
         self.signal(signal::Signal::SIGCONT)
     }
 
-    /// Waits until the process has ended by itself; tells whether its exit code was zero.
+    /// Waits until the process has ended by itself, and returns whether its exit code was zero.
     pub fn wait_end(&mut self, limit: Duration) -> eyre::Result<bool> {
         let until = Instant::now() + limit;
         while Instant::now() < until {
             if let Some(status) = self.child.try_wait()? {
                 return Ok(status.success());
             }
-            thread::sleep(LOOK_PAUSE);
+            thread::sleep(POLL_INTERVAL);
         }
         bail!("the process did not end in {limit:?}")
     }
@@ -223,8 +224,8 @@
     /// Processor time used so far, in ticks of 10 ms.
     pub fn cpu_ticks(&self) -> eyre::Result<u64> {
         let stat = fs::read_to_string(self.proc_file("stat"))?;
-        // The name in parentheses may hold spaces; user and system time are the 12th and 13th
-        // fields behind it.
+        // The name in parentheses may contain spaces; user and system time are the 12th and 13th
+        // fields after it.
         let Some((_, rest)) = stat.rsplit_once(')') else {
             bail!("the process has no time figure");
         };
@@ -251,10 +252,10 @@
     }
 }
 
-/// The files of one start, which no other start has.
+/// The files of one start, which no other start uses.
 ///
-/// Failure: two runs of one test share a folder. Symptom: each reads the addresses of the other's process
-/// or takes its ready file away, and waits for a node that serves.
+/// If two runs of one test shared a folder and its files, each would read the addresses of the
+/// other's process or remove its ready file, and wait for a node that is already ready.
 struct StartFiles {
     settings: PathBuf,
     ready: PathBuf,
@@ -264,10 +265,10 @@
 }
 
 impl StartFiles {
-    /// Takes the first number whose log nobody has made; what a process knew is looked for after its
-    /// successor began.
+    /// Claims the first number without a log. Logs of earlier starts are kept, since they are
+    /// needed after the successor has started.
     fn claim(plan: &ProcessPlan<'_>) -> eyre::Result<Self> {
-        for start in 1..=MOST_STARTS {
+        for start in 1..=MAX_STARTS {
             let file = |suffix: &str| plan.folder.join(format!("{}.{start}.{suffix}", plan.name));
             let log = file("log");
             let output = match fs::File::create_new(&log) {
@@ -287,12 +288,12 @@
                 output,
             });
         }
-        bail!("{} has {MOST_STARTS} logs already", plan.name)
+        bail!("{} has {MAX_STARTS} logs already", plan.name)
     }
 }
 
-/// What the threads of a process do, as proc(5) tells it: each one's name, state and where it waits.
-fn standing(process: u32) -> String {
+/// The name, state and wait channel of each thread of a process, from proc(5).
+fn thread_states(process: u32) -> String {
     let Ok(tasks) = fs::read_dir(format!("/proc/{process}/task")) else {
         return "no process".to_owned();
     };
@@ -307,13 +308,13 @@
 }
 
 fn end(child: &mut Child) {
-    // Both fail only where the process is gone already.
+    // Both fail only if the process has already ended.
     let _ = child.kill();
     let _ = child.wait();
 }
 
 fn wait_ready(child: &mut Child, ready: &Path) -> eyre::Result<NodeAddresses> {
-    let until = Instant::now() + READY_WAIT;
+    let until = Instant::now() + READY_TIMEOUT;
     while Instant::now() < until {
         if let Some(status) = child.try_wait()? {
             bail!("ended at once: {status}");
@@ -323,7 +324,7 @@
         {
             return Ok(addresses);
         }
-        thread::sleep(LOOK_PAUSE);
+        thread::sleep(POLL_INTERVAL);
     }
-    bail!("does not serve after {READY_WAIT:?}")
+    bail!("is not ready after {READY_TIMEOUT:?}")
 }
--- a/crates/anvil_standins/src/proxy.rs
+++ b/crates/anvil_standins/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy on loopback that harms the connections which go through it.
+//! A loopback proxy that injects faults into connections.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,39 +10,41 @@
 use tokio::runtime::Handle;
 use tokio::sync::watch;
 
-/// What happens to connections.
+/// A fault of the connections through a proxy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum LinkHarm {
-    /// None.
+pub enum LinkFault {
+    /// No fault.
     #[default]
     None,
-    /// Bytes wait for this long.
+    /// Bytes are delayed by this time.
     Delayed(Duration),
-    /// Nothing gets to the server any more, what it says still arrives.
-    CutTowards,
-    /// Nothing gets back from the server.
-    CutBack,
-    /// Open connections fall silent for good, and new ones work.
+    /// Bytes to the server are dropped; bytes from it still arrive.
+    BlockedToServer,
+    /// Bytes from the server are dropped.
+    BlockedToClient,
+    /// Open connections stay silent forever, and new ones work.
     Silenced,
     /// Open connections are reset, and new ones work.
     Reset,
 }
 
-/// A harm and how often it was set, so that each connection knows what came after its own start.
-type HarmState = (u64, LinkHarm);
+/// A fault and how often it was set, so that each connection knows which faults were set after its
+/// start.
+type FaultState = (u64, LinkFault);
 
 /// A proxy in front of one server.
 #[derive(Clone, Debug)]
-pub struct HarmProxy {
-    /// Where it listens.
+pub struct FaultProxy {
+    /// Its listening address.
     pub address: SocketAddr,
-    harm: Arc<watch::Sender<HarmState>>,
+    fault: Arc<watch::Sender<FaultState>>,
 }
 
-impl HarmProxy {
-    /// Listens at `address` and passes on to `server`, which gets the same port where it has none.
+impl FaultProxy {
+    /// Listens at `address` and forwards to `server`. If the port of `server` is zero, it is the
+    /// proxy's port.
     ///
-    /// Fails where the address can't be bound.
+    /// Fails if the address can't be bound.
     pub fn start(runtime: &Handle, address: SocketAddr, server: SocketAddr) -> io::Result<Self> {
         let _entered = runtime.enter();
         let listener = std::net::TcpListener::bind(address)?;
@@ -54,54 +56,60 @@
             server.port()
         };
         let server = SocketAddr::new(server.ip(), port);
-        let harm = Arc::new(watch::Sender::new((0, LinkHarm::None)));
-        let told = harm.clone();
+        let fault = Arc::new(watch::Sender::new((0, LinkFault::None)));
+        let fault_sender = fault.clone();
         let listener = TcpListener::from_std(listener)?;
         runtime.spawn(async move {
             while let Ok((client, _)) = listener.accept().await {
-                tokio::spawn(join(client, server, told.subscribe()));
+                tokio::spawn(forward(client, server, fault_sender.subscribe()));
             }
         });
-        Ok(Self { address, harm })
+        Ok(Self { address, fault })
     }
 
-    /// Does `harm` from now on.
-    pub fn set(&self, harm: LinkHarm) {
-        self.harm.send_modify(|state| *state = (state.0 + 1, harm));
+    /// Sets the fault from now on.
+    pub fn set(&self, fault: LinkFault) {
+        self.fault
+            .send_modify(|state| *state = (state.0 + 1, fault));
     }
 }
 
-async fn join(client: TcpStream, server: SocketAddr, harm: watch::Receiver<HarmState>) {
+async fn forward(client: TcpStream, server: SocketAddr, fault: watch::Receiver<FaultState>) {
     let Ok(upstream) = TcpStream::connect(server).await else {
         return;
     };
     let _ = (client.set_nodelay(true), upstream.set_nodelay(true));
-    let mut resets = harm.clone();
-    let began = harm.borrow().0;
-    let is_reset = move |state: &HarmState| state.0 > began && state.1 == LinkHarm::Reset;
+    let mut resets = fault.clone();
+    let initial_count = fault.borrow().0;
+    let is_reset = move |state: &FaultState| state.0 > initial_count && state.1 == LinkFault::Reset;
     let (client_in, client_out) = client.into_split();
     let (server_in, server_out) = upstream.into_split();
-    let towards = pump(client_in, server_out, harm.clone(), LinkHarm::CutTowards);
-    let back = pump(server_in, client_out, harm, LinkHarm::CutBack);
+    let to_server = pump(
+        client_in,
+        server_out,
+        fault.clone(),
+        LinkFault::BlockedToServer,
+    );
+    let to_client = pump(server_in, client_out, fault, LinkFault::BlockedToClient);
     tokio::select! {
-        // Dropped with bytes in flight, both ends are reset.
+        // Dropping the sockets with bytes in flight resets both ends.
         _ = resets.wait_for(is_reset) => {}
-        _ = async { tokio::join!(towards, back) } => {}
+        _ = async { tokio::join!(to_server, to_client) } => {}
     }
 }
 
-/// Carries one direction until it ends; `cut` is the harm that swallows it.
+/// Copies one direction until it ends; `blocking` is the fault that drops its bytes.
 async fn pump<R, W>(
     mut from: R,
     mut to: W,
-    harm: watch::Receiver<HarmState>,
-    cut: LinkHarm,
+    fault: watch::Receiver<FaultState>,
+    blocking: LinkFault,
 ) -> io::Result<()>
 where
     R: tokio::io::AsyncRead + Unpin,
     W: tokio::io::AsyncWrite + Unpin,
 {
-    let began = harm.borrow().0;
+    let initial_count = fault.borrow().0;
     let mut silenced = false;
     let mut buffer = vec![0; 16 * 1024];
     loop {
@@ -109,12 +117,12 @@
         if read == 0 {
             return to.shutdown().await;
         }
-        let (count, present) = *harm.borrow();
-        silenced |= count > began && present == LinkHarm::Silenced;
-        if silenced || present == cut {
+        let (count, current) = *fault.borrow();
+        silenced |= count > initial_count && current == LinkFault::Silenced;
+        if silenced || current == blocking {
             continue;
         }
-        if let LinkHarm::Delayed(span) = present {
+        if let LinkFault::Delayed(span) = current {
             tokio::time::sleep(span).await;
         }
         to.write_all(&buffer[..read]).await?;
--- a/crates/anvil_standins/src/report.rs
+++ b/crates/anvil_standins/src/report.rs
@@ -1,4 +1,4 @@
-//! What an experiment showed: goodput, wasted work, attempts and recovery time.
+//! Results of an experiment: goodput, wasted work, attempts and recovery time.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -7,105 +7,106 @@
 
 use crate::{ledger, scenario};
 
-/// Width of the windows in which recovery is judged.
+/// Width of the windows by which recovery is measured.
 const WINDOW: Duration = Duration::from_millis(500);
 
-/// Share of the quiet phase's whole answers at which a service counts as recovered.
+/// Share of the success rate before the overload at which a service counts as recovered.
 const RECOVERED_SHARE: f64 = 0.95;
 
-/// Windows in a row that must be good, so that one lucky window is no recovery.
-const WINDOWS_IN_ROW: usize = 2;
+/// Consecutive good windows that count as recovery, so that a single lucky window does not.
+const MIN_GOOD_WINDOWS: usize = 2;
 
-/// Requests sent and answered whole, of one class, during the pressure.
+/// Counts of requests sent and answered completely.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClassCount {
     /// Sent.
     pub sent: usize,
-    /// Answered whole.
-    pub whole: usize,
+    /// Answered completely.
+    pub complete: usize,
 }
 
 impl ClassCount {
-    /// Share answered whole, in percent; none where nothing was sent.
+    /// Share answered completely, in percent; none if nothing was sent.
     pub fn share(self) -> Option<f64> {
-        (self.sent > 0).then(|| 100.0 * self.whole as f64 / self.sent as f64)
+        (self.sent > 0).then(|| 100.0 * self.complete as f64 / self.sent as f64)
     }
 }
 
 /// The measures of one run of one scenario.
 #[derive(Clone, Debug)]
 pub struct RunReport {
-    /// By class, from the one shed first, for requests sent during the pressure.
+    /// Counts by class, beginning with the one shed first, of requests sent during the overload.
     pub classes: [ClassCount; 4],
-    /// Whole answers per second to requests sent during the pressure.
+    /// Complete answers per second to requests sent during the overload.
     pub goodput: f64,
-    /// Whole answers per second to requests sent before it.
-    pub quiet_goodput: f64,
-    /// Share of the targets' time spent for root requests that failed, in percent.
+    /// Complete answers per second to requests sent before the overload.
+    pub baseline_goodput: f64,
+    /// Share of the targets' busy time spent on root requests that failed, in percent.
     pub wasted_percent: f64,
     /// Runs at targets per root request.
     pub runs_per_root: f64,
-    /// Seconds from the end of the pressure until whole answers are back; none where they
-    /// did not come back before the end.
+    /// Seconds from the end of the overload until the success rate has recovered; none if it did
+    /// not recover before the end.
     pub recovery: Option<f64>,
-    /// The most runs that one key of a non-idempotent action saw.
-    pub most_runs_per_key: usize,
-    /// Answers that were not the caller's own or not whole.
+    /// The largest number of runs of any key of a non-idempotent action.
+    pub max_runs_per_key: usize,
+    /// Answers to other requests, or incomplete ones.
     pub foreign: usize,
-    /// Requests that ended without any answer.
+    /// Requests without any answer.
     pub silent: usize,
-    /// Sends that ended without a whole answer and not as not run.
+    /// Sends that got neither a complete answer nor a refusal as not run.
     pub cut: usize,
-    /// Runs of requests that no caller of this experiment sent; any makes the run worthless.
-    pub strangers: usize,
-    /// Processor time of all nodes for one call that ran, in microseconds; it includes what the
-    /// nodes spend idle and on calls that they refuse.
+    /// Runs of requests that no caller of this experiment sent; a single one invalidates the
+    /// results.
+    pub foreign_runs: usize,
+    /// Processor time of all nodes per run, in microseconds, including the cost of idling
+    /// and of refused calls.
     pub cpu_micros_per_run: f64,
-    /// Most resident memory of a node, in megabytes.
-    pub most_megabytes: f64,
-    /// Requests of the whole run, and those of them answered whole.
+    /// Largest resident memory of a node, in megabytes.
+    pub max_megabytes: f64,
+    /// Counts over the whole run.
     pub all: ClassCount,
 }
 
 impl RunReport {
-    /// Sums up a ledger.
+    /// Computes the report of a ledger.
     pub fn of(ledger: &ledger::RunLedger, plan: &scenario::ScenarioPlan) -> Self {
         let callers = ledger.callers();
         let times = plan.times();
-        let quiet = window(&callers, times.pressure / 4, times.pressure);
-        let strained = window(&callers, times.pressure, times.relief);
+        let before = window(&callers, times.pressure / 4, times.pressure);
+        let overload = window(&callers, times.pressure, times.relief);
         let runs = ledger.runs();
         Self {
-            classes: by_class(&strained),
-            goodput: per_second(whole(&strained), times.relief - times.pressure),
-            quiet_goodput: per_second(whole(&quiet), times.pressure * 3 / 4),
+            classes: by_class(&overload),
+            goodput: per_second(complete(&overload), times.relief - times.pressure),
+            baseline_goodput: per_second(complete(&before), times.pressure * 3 / 4),
             wasted_percent: wasted_percent(&callers, &runs),
             runs_per_root: runs.len() as f64 / callers.len().max(1) as f64,
-            recovery: recovery(&callers, &quiet, times),
-            most_runs_per_key: ledger.most_runs_per_key(),
+            recovery: recovery(&callers, &before, times),
+            max_runs_per_key: ledger.max_runs_per_key(),
             foreign: count(&callers, ledger::CallerOutcome::Foreign),
             cut: cut_sends(&callers),
-            strangers: ledger.strangers().len(),
+            foreign_runs: ledger.foreign_runs().len(),
             cpu_micros_per_run: cpu_micros(&ledger.usage(), runs.len()),
-            most_megabytes: most_megabytes(&ledger.usage()),
+            max_megabytes: max_megabytes(&ledger.usage()),
             all: ClassCount {
                 sent: callers.len(),
-                whole: count(&callers, ledger::CallerOutcome::Whole),
+                complete: count(&callers, ledger::CallerOutcome::Complete),
             },
             silent: count(&callers, ledger::CallerOutcome::Silent),
         }
     }
 
-    /// Share of the class's requests answered whole, in percent.
+    /// Share of the class's requests answered completely, in percent.
     pub fn share(&self, class: context::PriorityClass) -> Option<f64> {
         self.classes[class as usize].share()
     }
 }
 
-/// What to look at in the logs first, a line each: runs of keys that ran more than once, runs of
-/// strangers, and sends that were cut.
+/// Events to investigate first in the logs, one a line: runs of keys that ran more than once,
+/// foreign runs, and sends that were cut.
 ///
-/// Times are those of the Unix clock, as node logs have them.
+/// Times are seconds since the Unix epoch, as in node logs.
 pub fn findings(ledger: &ledger::RunLedger) -> Vec<String> {
     let run_line = |kind: &str, run: &ledger::RunRecord| {
         format!(
@@ -114,28 +115,32 @@
             run.key,
             run.target,
             run.parent,
-            ledger.clock(run.began),
-            run.held().as_millis(),
-            run.whole,
+            ledger.unix_seconds(run.started),
+            run.slot_time().as_millis(),
+            run.completed,
         )
     };
-    let doubled = ledger.doubled_runs();
-    let mut lines: Vec<String> = doubled
+    let repeated = ledger.repeated_key_runs();
+    let mut lines: Vec<String> = repeated
         .iter()
-        .map(|run| run_line("run of a doubled key", run))
+        .map(|run| run_line("run of a repeated key", run))
         .collect();
-    let strangers = ledger.strangers();
-    lines.extend(strangers.iter().map(|run| run_line("stranger", run)));
+    let foreign_runs = ledger.foreign_runs();
+    lines.extend(foreign_runs.iter().map(|run| run_line("stranger", run)));
     for record in ledger.callers() {
-        // The sends of a doubled key tell which of its runs had a caller, so they are told whole.
-        let told = doubled.iter().any(|run| run.root == record.root);
-        for send in record.sends.iter().filter(|send| told || send.is_cut()) {
+        // For a repeated key all sends are listed, since they show which of its runs had a caller.
+        let is_repeated = repeated.iter().any(|run| run.root == record.root);
+        for send in record
+            .sends
+            .iter()
+            .filter(|send| is_repeated || send.is_cut())
+        {
             lines.push(format!(
                 "send: root={} kind={} entry={} sent={:.6} took_ms={} outcome={} attempts={} reason={:?}",
                 record.root,
                 record.kind,
                 send.entry,
-                ledger.clock(send.sent),
+                ledger.unix_seconds(send.sent),
                 send.ended.saturating_sub(send.sent).as_millis(),
                 send.outcome,
                 send.attempts,
@@ -156,9 +161,9 @@
     all.as_secs_f64() * 1e6 / runs.max(1) as f64
 }
 
-fn most_megabytes(usage: &[ledger::UsageRecord]) -> f64 {
-    let most = usage.iter().map(|used| used.resident_bytes).max();
-    most.unwrap_or(0) as f64 / 1e6
+fn max_megabytes(usage: &[ledger::UsageRecord]) -> f64 {
+    let max = usage.iter().map(|used| used.resident_bytes).max();
+    max.unwrap_or(0) as f64 / 1e6
 }
 
 fn window(
@@ -170,9 +175,10 @@
     callers.iter().filter(inside).collect()
 }
 
-fn whole(callers: &[&ledger::CallerRecord]) -> usize {
-    let whole = |record: &&&ledger::CallerRecord| record.outcome == ledger::CallerOutcome::Whole;
-    callers.iter().filter(whole).count()
+fn complete(callers: &[&ledger::CallerRecord]) -> usize {
+    let is_complete =
+        |record: &&&ledger::CallerRecord| record.outcome == ledger::CallerOutcome::Complete;
+    callers.iter().filter(is_complete).count()
 }
 
 fn count(callers: &[ledger::CallerRecord], outcome: ledger::CallerOutcome) -> usize {
@@ -187,7 +193,7 @@
     for record in callers {
         let class = &mut classes[record.class as usize];
         class.sent += 1;
-        class.whole += usize::from(record.outcome == ledger::CallerOutcome::Whole);
+        class.complete += usize::from(record.outcome == ledger::CallerOutcome::Complete);
     }
     classes
 }
@@ -197,39 +203,39 @@
 }
 
 fn wasted_percent(callers: &[ledger::CallerRecord], runs: &[ledger::RunRecord]) -> f64 {
-    let whole: HashSet<&str> = callers
+    let complete: HashSet<&str> = callers
         .iter()
-        .filter(|record| record.outcome == ledger::CallerOutcome::Whole)
+        .filter(|record| record.outcome == ledger::CallerOutcome::Complete)
         .map(|record| record.root.as_str())
         .collect();
-    let held = |run: &ledger::RunRecord| run.held().as_secs_f64();
-    let all: f64 = runs.iter().map(held).sum();
-    let lost: f64 = runs
+    let slot_time = |run: &ledger::RunRecord| run.slot_time().as_secs_f64();
+    let all: f64 = runs.iter().map(slot_time).sum();
+    let wasted: f64 = runs
         .iter()
-        .filter(|run| !whole.contains(run.root.as_str()))
-        .map(held)
+        .filter(|run| !complete.contains(run.root.as_str()))
+        .map(slot_time)
         .sum();
-    100.0 * lost / all.max(f64::EPSILON)
+    100.0 * wasted / all.max(f64::EPSILON)
 }
 
 fn recovery(
     callers: &[ledger::CallerRecord],
-    quiet: &[&ledger::CallerRecord],
+    before: &[&ledger::CallerRecord],
     times: scenario::PhaseTimes,
 ) -> Option<f64> {
-    let usual = whole(quiet) as f64 / quiet.len().max(1) as f64;
-    let mut good_in_row = 0;
+    let baseline = complete(before) as f64 / before.len().max(1) as f64;
+    let mut good_windows = 0;
     let mut from = times.relief;
     while from + WINDOW <= times.end {
         let sent = window(callers, from, from + WINDOW);
-        let share = whole(&sent) as f64 / sent.len().max(1) as f64;
-        good_in_row = if share >= usual * RECOVERED_SHARE {
-            good_in_row + 1
+        let share = complete(&sent) as f64 / sent.len().max(1) as f64;
+        good_windows = if share >= baseline * RECOVERED_SHARE {
+            good_windows + 1
         } else {
             0
         };
-        if good_in_row == WINDOWS_IN_ROW {
-            let start = from + WINDOW - WINDOW * WINDOWS_IN_ROW as u32;
+        if good_windows == MIN_GOOD_WINDOWS {
+            let start = from + WINDOW - WINDOW * MIN_GOOD_WINDOWS as u32;
             return Some((start - times.relief).as_secs_f64());
         }
         from += WINDOW;
--- a/crates/anvil_standins/src/scenario.rs
+++ b/crates/anvil_standins/src/scenario.rs
@@ -1,4 +1,4 @@
-//! A scenario of the experiment tool: demand, faults and callers' habits, as YAML.
+//! A scenario of the experiment tool: demand, faults and callers' behaviour, as YAML.
 
 use std::time::Duration;
 
@@ -9,22 +9,22 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ScenarioPlan {
-    /// Its name.
+    /// The scenario's name.
     pub name: String,
-    /// The mesh it runs on: a folder of `examples/`.
+    /// The mesh that it runs on, as a folder of `examples/`.
     pub mesh: String,
-    /// Root requests per second outside of the pressure.
+    /// Root requests per second outside the overload phase.
     pub base_rate: f64,
-    /// Time before the pressure, in seconds.
+    /// Duration before the overload phase, in seconds.
     pub warm_seconds: f64,
-    /// Time of the pressure, in seconds.
+    /// Duration of the overload phase, in seconds.
     pub pressure_seconds: f64,
-    /// Time observed after the pressure, in seconds.
+    /// Duration observed after the overload phase, in seconds.
     pub after_seconds: f64,
-    /// Demand during the pressure, as a multiple of the base rate.
+    /// Demand during the overload phase, as a multiple of the base rate.
     #[serde(default = "one")]
     pub rate_factor: f64,
-    /// Faults that start with the pressure.
+    /// Faults during the overload phase.
     #[serde(default)]
     pub faults: Vec<FaultPlan>,
     /// How callers behave.
@@ -35,38 +35,38 @@
     1.0
 }
 
-/// A fault that starts with the pressure and, unless it says otherwise, ends with it.
+/// A fault that starts with the overload phase and, unless stated otherwise, ends with it.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub enum FaultPlan {
     /// Work at every target of the service takes `factor` times as long.
     Slow {
-        /// Which service.
+        /// The affected service.
         service: name::ServiceName,
-        /// How much longer.
+        /// Factor on the work time.
         factor: f64,
     },
-    /// Every target and node in the zone is cut; they come back with the end of the pressure.
+    /// Every target and node in the zone crashes, and restarts at the end of the overload phase.
     LoseZone {
-        /// Which zone.
+        /// The affected zone.
         zone: name::ZoneName,
     },
-    /// The first half of the service's targets crash and come back cold after a second.
+    /// The first half of the service's targets crash and restart cold after a second.
     ColdRestart {
-        /// Which service.
+        /// The affected service.
         service: name::ServiceName,
     },
-    /// Nodes are stopped gracefully and started anew, some at once, until all have been; then
-    /// again from the first, while the pressure lasts.
+    /// Nodes are stopped gracefully and restarted in groups, repeatedly through all nodes, until
+    /// the number of restarts is reached.
     RollingRestart {
-        /// Nodes that are restarted at once.
+        /// Number of nodes that are restarted at once.
         at_once: usize,
-        /// Restarts in all.
+        /// Total number of restarts.
         restarts: usize,
     },
     /// Callers send a request that crashes each target that runs it, and resend it.
     Poison {
-        /// Which service they send it to.
+        /// The service that they send it to.
         service: name::ServiceName,
         /// Sends per second, each to another entry node.
         rate: f64,
@@ -79,7 +79,7 @@
 pub struct CallerPlan {
     /// Longest wait for one answer, in milliseconds.
     pub timeout_ms: u64,
-    /// Times a caller sends the same request again after a failure.
+    /// How often a caller resends a request after failures.
     #[serde(default)]
     pub resends: u32,
     /// Pause before a resend, in milliseconds.
@@ -87,24 +87,24 @@
     pub pause_ms: u64,
 }
 
-/// The times that divide a scenario, since its start.
+/// The phase boundaries of a scenario, since its start.
 #[derive(Clone, Copy, Debug)]
 pub struct PhaseTimes {
-    /// When the pressure starts.
+    /// Start of the overload phase.
     pub pressure: Duration,
-    /// When the pressure ends.
+    /// End of the overload phase.
     pub relief: Duration,
-    /// When callers stop.
+    /// When callers stop sending.
     pub end: Duration,
 }
 
 impl ScenarioPlan {
-    /// Reads a scenario; the error names the place.
+    /// Parses a scenario; errors contain the position.
     pub fn parse(text: &str) -> Result<Self, serde_saphyr::Error> {
         serde_saphyr::from_str(text)
     }
 
-    /// The times that divide it.
+    /// The phase boundaries.
     pub fn times(&self) -> PhaseTimes {
         let pressure = Duration::from_secs_f64(self.warm_seconds);
         let relief = pressure + Duration::from_secs_f64(self.pressure_seconds);
--- a/crates/anvil_standins/src/store.rs
+++ b/crates/anvil_standins/src/store.rs
@@ -1,4 +1,5 @@
-//! The platform's key-value service, as a pure state and as an HTTP server around it.
+//! Stand-ins of the platform's key-value service: a pure state machine, and an HTTP server around
+//! it.
 
 pub mod fake;
 pub mod server;
--- a/crates/anvil_standins/src/store/fake.rs
+++ b/crates/anvil_standins/src/store/fake.rs
@@ -1,4 +1,4 @@
-//! A store without sockets and clock: entries, leases, watches and faults on demand.
+//! A fake store without sockets and clock, with entries, leases, watches and injected faults.
 
 use std::time::Duration;
 
@@ -6,23 +6,23 @@
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// What goes wrong at present.
+/// The injected faults.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StoreFaults {
-    /// Every call is refused, and nothing is done.
+    /// Every call is refused without effect.
     pub down: bool,
-    /// Share of the calls that are carried out but whose answer is lost, in percent.
+    /// Share of calls that take effect but whose answer is lost, in percent.
     pub lost_answers: u32,
-    /// Share of the calls that are lost before they are carried out, in percent.
+    /// Share of calls that are lost before they take effect, in percent.
     pub lost_calls: u32,
 }
 
-/// Calls counted by kind, a watch that waits as one.
+/// Counts of calls by kind; a waiting watch counts once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CallCounts {
     /// Gets, lists and watches.
     pub reads: u64,
-    /// Swaps, removals and everything about leases.
+    /// Swaps, removals and lease operations.
     pub writes: u64,
     /// Watches among the reads.
     pub watches: u64,
@@ -53,25 +53,25 @@
     until: time::NodeTime,
 }
 
-/// The store; `Caller` names whoever waits for a watch.
+/// The store; `Caller` identifies the caller of a waiting watch.
 #[derive(Clone, Debug)]
 pub struct FakeStore<Caller> {
-    /// What goes wrong at present.
+    /// The injected faults.
     pub faults: StoreFaults,
     counts: CallCounts,
     entries: Vec<FakeEntry>,
     leases: Vec<FakeLease>,
     watches: Vec<FakeWatch<Caller>>,
     version: store::StoreVersion,
-    minted: u64,
-    choice: Pcg64Mcg,
+    last_lease: u64,
+    rng: Pcg64Mcg,
 }
 
 impl<Caller> FakeStore<Caller>
 where
     Caller: Clone,
 {
-    /// An empty store; `seed` chooses which answers are lost.
+    /// An empty store; `seed` determines which calls and answers are lost.
     pub fn new(seed: u64) -> Self {
         Self {
             faults: StoreFaults::default(),
@@ -80,8 +80,8 @@
             leases: Vec::new(),
             watches: Vec::new(),
             version: store::StoreVersion(0),
-            minted: 0,
-            choice: Pcg64Mcg::seed_from_u64(seed),
+            last_lease: 0,
+            rng: Pcg64Mcg::seed_from_u64(seed),
         }
     }
 
@@ -90,7 +90,7 @@
         self.counts
     }
 
-    /// Watches that wait.
+    /// Number of waiting watches.
     pub fn waiting(&self) -> usize {
         self.watches.len()
     }
@@ -99,50 +99,50 @@
     pub fn entries<'store>(
         &'store self,
     ) -> impl Iterator<Item = &'store store::StoreEntry> + use<'store, Caller> {
-        self.entries.iter().map(|held| &held.entry)
+        self.entries.iter().map(|item| &item.entry)
     }
 
-    /// Carries out one call; none where it is a watch that waits, or where no answer comes.
+    /// Carries out one call. Returns nothing if it is a watch that has to wait.
     pub fn carry_out(
         &mut self,
         now: time::NodeTime,
         caller: Caller,
-        ask: &store::StoreRequest,
+        request: &store::StoreRequest,
     ) -> Option<store::StoreOutcome> {
-        if let Some(refusal) = self.admit(now, ask) {
+        if let Some(refusal) = self.admit(now, request) {
             return Some(refusal);
         }
-        let outcome = match ask {
+        let outcome = match request {
             store::StoreRequest::Watch { prefix, seen, wait } => {
                 self.watch(now, caller, prefix, *seen, *wait)?
             }
-            _ => self.answer(now, ask),
+            _ => self.answer(now, request),
         };
-        if self.happens(self.faults.lost_answers) {
+        if self.draws_fault(self.faults.lost_answers) {
             return Some(store::StoreOutcome::Unknown);
         }
         Some(outcome)
     }
 
-    /// Counts one call; gives its outcome where a fault keeps it from being carried out.
+    /// Counts one call. Returns its outcome if a fault prevents it from taking effect.
     pub fn admit(
         &mut self,
         now: time::NodeTime,
-        ask: &store::StoreRequest,
+        request: &store::StoreRequest,
     ) -> Option<store::StoreOutcome> {
-        self.lapse(now);
-        self.count(ask);
+        self.expire_leases(now);
+        self.count(request);
         if self.faults.down {
             self.counts.refused += 1;
             return Some(store::StoreOutcome::Unavailable);
         }
-        let lost = self.happens(self.faults.lost_calls);
+        let lost = self.draws_fault(self.faults.lost_calls);
         lost.then_some(store::StoreOutcome::Unknown)
     }
 
-    /// Ends the watches that have something to tell, or whose time is over.
+    /// Ends the watches that have new entries or whose time is over.
     pub fn due_watches(&mut self, now: time::NodeTime) -> Vec<(Caller, store::StoreOutcome)> {
-        self.lapse(now);
+        self.expire_leases(now);
         let mut ended = Vec::new();
         let waiting = std::mem::take(&mut self.watches);
         for watch in waiting {
@@ -165,7 +165,8 @@
         ended
     }
 
-    /// What a watch of `prefix` would tell now; none where it goes on waiting and is not `over`.
+    /// The present outcome of a watch of `prefix`; none if it has no new entries and its time is
+    /// not `over`.
     pub fn peek(
         &mut self,
         prefix: &store::StoreKey,
@@ -176,15 +177,15 @@
         (over || !found.is_empty()).then(|| self.listed(found, false))
     }
 
-    /// Comes back from an older copy: what was written since is gone, and so are all leases.
-    pub fn put_back(&mut self, copy: &Self) {
-        let unleased = copy.entries.iter().filter(|held| held.lease.is_none());
+    /// Restores an older copy of the store, which loses later writes and all leases.
+    pub fn restore_copy(&mut self, copy: &Self) {
+        let unleased = copy.entries.iter().filter(|item| item.lease.is_none());
         self.entries = unleased.cloned().collect();
         self.leases.clear();
         self.version = copy.version;
     }
 
-    /// Drops every watch, as a restart of the platform does.
+    /// Drops every watch, like a restart of the platform.
     pub fn drop_watches(&mut self) -> Vec<(Caller, store::StoreOutcome)> {
         let dropped = std::mem::take(&mut self.watches);
         let ended = dropped.into_iter();
@@ -193,20 +194,20 @@
             .collect()
     }
 
-    /// Ends the leases whose time is over, and their entries with them.
-    fn lapse(&mut self, now: time::NodeTime) {
+    /// Removes expired leases and their entries.
+    fn expire_leases(&mut self, now: time::NodeTime) {
         let leases = &mut self.leases;
         leases.retain(|lease| lease.until > now);
         let alive = |id: store::LeaseId| leases.iter().any(|lease| lease.id == id);
         let before = self.entries.len();
-        self.entries.retain(|held| held.lease.is_none_or(alive));
+        self.entries.retain(|item| item.lease.is_none_or(alive));
         if self.entries.len() < before {
             self.version.0 += 1;
         }
     }
 
-    fn count(&mut self, ask: &store::StoreRequest) {
-        match ask {
+    fn count(&mut self, request: &store::StoreRequest) {
+        match request {
             store::StoreRequest::Get { .. } | store::StoreRequest::List { .. } => {
                 self.counts.reads += 1;
             }
@@ -224,22 +225,26 @@
         }
     }
 
-    fn happens(&mut self, percent: u32) -> bool {
-        percent > 0 && self.choice.next_u32() % 100 < percent
+    fn draws_fault(&mut self, percent: u32) -> bool {
+        percent > 0 && self.rng.next_u32() % 100 < percent
     }
 
-    fn answer(&mut self, now: time::NodeTime, ask: &store::StoreRequest) -> store::StoreOutcome {
-        match ask {
+    fn answer(
+        &mut self,
+        now: time::NodeTime,
+        request: &store::StoreRequest,
+    ) -> store::StoreOutcome {
+        match request {
             store::StoreRequest::Get { key } => {
                 let entry = self.current(key);
                 store::StoreOutcome::Done(store::StoreReply::Entry(entry))
             }
             store::StoreRequest::Swap {
                 key,
-                condition: base,
+                condition,
                 value,
                 lease,
-            } => self.swap(key, *base, value, *lease),
+            } => self.swap(key, *condition, value, *lease),
             store::StoreRequest::Remove { key, version } => self.remove(key, *version),
             store::StoreRequest::Grant { lease } => self.grant(now, *lease),
             store::StoreRequest::Renew { lease } => self.renew(now, *lease),
@@ -282,7 +287,7 @@
     fn swap(
         &mut self,
         key: &store::StoreKey,
-        base: store::SwapCondition,
+        condition: store::SwapCondition,
         value: &bytes::Bytes,
         lease: Option<store::LeaseId>,
     ) -> store::StoreOutcome {
@@ -290,15 +295,15 @@
         if value.len() > store::MAX_VALUE_BYTES || unknown_lease {
             return store::StoreOutcome::Unavailable;
         }
-        let place = self.place(key);
-        let stands = match (base, place) {
+        let position = self.position(key);
+        let matches = match (condition, position) {
             (store::SwapCondition::Absent, Err(_)) => true,
-            (store::SwapCondition::At(version), Ok(place)) => {
-                self.entries[place].entry.version == version
+            (store::SwapCondition::At(version), Ok(position)) => {
+                self.entries[position].entry.version == version
             }
             _ => false,
         };
-        if !stands {
+        if !matches {
             let current = self.current(key);
             return store::StoreOutcome::Conflict { current };
         }
@@ -308,10 +313,10 @@
             version: self.version,
             value: value.clone(),
         };
-        let held = FakeEntry { entry, lease };
-        match place {
-            Ok(place) => self.entries[place] = held,
-            Err(place) => self.entries.insert(place, held),
+        let item = FakeEntry { entry, lease };
+        match position {
+            Ok(position) => self.entries[position] = item,
+            Err(position) => self.entries.insert(position, item),
         }
         let version = self.version;
         store::StoreOutcome::Done(store::StoreReply::Swapped { version })
@@ -322,9 +327,9 @@
         key: &store::StoreKey,
         version: store::StoreVersion,
     ) -> store::StoreOutcome {
-        match self.place(key) {
-            Ok(place) if self.entries[place].entry.version == version => {
-                self.entries.remove(place);
+        match self.position(key) {
+            Ok(position) if self.entries[position].entry.version == version => {
+                self.entries.remove(position);
                 self.version.0 += 1;
                 store::StoreOutcome::Done(store::StoreReply::Removed)
             }
@@ -337,8 +342,8 @@
     }
 
     fn grant(&mut self, now: time::NodeTime, span: Duration) -> store::StoreOutcome {
-        self.minted += 1;
-        let lease = store::LeaseId(self.minted);
+        self.last_lease += 1;
+        let lease = store::LeaseId(self.last_lease);
         self.leases.push(FakeLease {
             id: lease,
             span,
@@ -364,8 +369,8 @@
         after: Option<&store::StoreKey>,
         limit: u32,
     ) -> store::StoreOutcome {
-        let matching = self.entries.iter().map(|held| &held.entry);
-        let matching = matching.filter(|entry| under(entry, prefix));
+        let matching = self.entries.iter().map(|item| &item.entry);
+        let matching = matching.filter(|entry| has_prefix(entry, prefix));
         let matching = matching.filter(|entry| after.is_none_or(|after| entry.key > *after));
         let mut found: Vec<_> = matching.cloned().collect();
         let more = found.len() > limit as usize;
@@ -387,22 +392,22 @@
         prefix: &store::StoreKey,
         seen: store::StoreVersion,
     ) -> Vec<store::StoreEntry> {
-        let entries = self.entries.iter().map(|held| &held.entry);
-        let found = entries.filter(|entry| under(entry, prefix) && entry.version > seen);
+        let entries = self.entries.iter().map(|item| &item.entry);
+        let found = entries.filter(|entry| has_prefix(entry, prefix) && entry.version > seen);
         found.cloned().collect()
     }
 
     fn current(&self, key: &store::StoreKey) -> Option<store::StoreEntry> {
-        let place = self.place(key).ok()?;
-        Some(self.entries[place].entry.clone())
+        let position = self.position(key).ok()?;
+        Some(self.entries[position].entry.clone())
     }
 
-    fn place(&self, key: &store::StoreKey) -> Result<usize, usize> {
+    fn position(&self, key: &store::StoreKey) -> Result<usize, usize> {
         self.entries
-            .binary_search_by(|held| held.entry.key.cmp(key))
+            .binary_search_by(|item| item.entry.key.cmp(key))
     }
 }
 
-fn under(entry: &store::StoreEntry, prefix: &store::StoreKey) -> bool {
+fn has_prefix(entry: &store::StoreEntry, prefix: &store::StoreKey) -> bool {
     entry.key.as_str().starts_with(prefix.as_str())
 }
--- a/crates/anvil_standins/src/store/server.rs
+++ b/crates/anvil_standins/src/store/server.rs
@@ -1,4 +1,4 @@
-//! The store behind HTTP, with faults that a test turns on and off.
+//! HTTP server of the fake store, with faults that tests switch on and off.
 
 use std::io::Read;
 use std::net::SocketAddr;
@@ -12,14 +12,14 @@
 
 use crate::store::fake;
 
-/// Longest time between two looks of a waiting watch.
-const LOOK_INTERVAL: Duration = Duration::from_millis(20);
+/// Longest time between two checks of a waiting watch.
+const WATCH_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// State shared by the server's threads.
 struct Shared {
     start: Instant,
     fake: Mutex<fake::FakeStore<u64>>,
-    slowness: Mutex<Duration>,
+    answer_delay: Mutex<Duration>,
     written: Condvar,
 }
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// A running stand-in; it stops when dropped.
+/// A running stand-in of the store, which stops when dropped.
 pub struct StoreServer {
     shared: Arc<Shared>,
     address: SocketAddr,
@@ -42,22 +42,23 @@
 }
 
 impl StoreServer {
-    /// Starts on a free port of loopback.
+    /// Starts on a free loopback port.
     pub fn start(seed: u64) -> eyre::Result<Self> {
         Self::bind(SocketAddr::from(([127, 0, 0, 1], 0)), seed)
     }
 
-    /// Starts on an address of loopback; `seed` feeds its faults.
+    /// Starts on a loopback address; `seed` determines which calls and answers are lost.
     pub fn bind(address: SocketAddr, seed: u64) -> eyre::Result<Self> {
         let shared = Arc::new(Shared {
             start: Instant::now(),
             fake: Mutex::new(fake::FakeStore::new(seed)),
-            slowness: Mutex::new(Duration::ZERO),
+            answer_delay: Mutex::new(Duration::ZERO),
             written: Condvar::new(),
         });
         let serving = Arc::clone(&shared);
         let server = rouille::Server::new(address, move |request| serve(&serving, request));
-        let server = server.map_err(|error| eyre::eyre!("the store's stand-in: {error}"))?;
+        let server = server
+            .map_err(|error| eyre::eyre!("the stand-in of the store can't start: {error}"))?;
         let address = server.server_addr();
         let (thread, stop) = server.stoppable();
         Ok(Self {
@@ -68,30 +69,30 @@
         })
     }
 
-    /// Where it listens.
+    /// Its listening address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Sets what goes wrong from now on.
+    /// Sets the injected faults from now on.
     pub fn set_faults(&self, faults: fake::StoreFaults) {
         self.shared.fake().faults = faults;
     }
 
-    /// Lets every answer wait for `slowness` from now on.
-    pub fn set_slowness(&self, slowness: Duration) {
-        let mut held = self.shared.slowness.lock();
-        if let Ok(held) = &mut held {
-            **held = slowness;
+    /// Delays every answer by `delay` from now on.
+    pub fn set_answer_delay(&self, delay: Duration) {
+        let mut current = self.shared.answer_delay.lock();
+        if let Ok(current) = &mut current {
+            **current = delay;
         }
     }
 
-    /// Calls so far.
+    /// Counts of calls so far.
     pub fn counts(&self) -> fake::CallCounts {
         self.shared.fake().counts()
     }
 
-    /// All entries at present.
+    /// All current entries.
     pub fn entries(&self) -> Vec<store::StoreEntry> {
         self.shared.fake().entries().cloned().collect()
     }
@@ -107,15 +108,18 @@
 }
 
 fn serve(shared: &Shared, request: &rouille::Request) -> rouille::Response {
-    let slowness = shared.slowness.lock().map_or(Duration::ZERO, |held| *held);
-    thread::sleep(slowness);
-    let Some(ask) = question(request) else {
-        return rouille::Response::text("no such question").with_status_code(400);
+    let delay = shared
+        .answer_delay
+        .lock()
+        .map_or(Duration::ZERO, |delay| *delay);
+    thread::sleep(delay);
+    let Some(store_request) = parse_request(request) else {
+        return rouille::Response::text("unknown request").with_status_code(400);
     };
-    let outcome = match &ask {
-        store::StoreRequest::Watch { wait, .. } => wait_for(shared, &ask, *wait),
+    let outcome = match &store_request {
+        store::StoreRequest::Watch { wait, .. } => wait_for(shared, &store_request, *wait),
         _ => {
-            let outcome = shared.fake().carry_out(shared.now(), 0, &ask);
+            let outcome = shared.fake().carry_out(shared.now(), 0, &store_request);
             shared.written.notify_all();
             outcome
         }
@@ -123,19 +127,19 @@
     answer(outcome.unwrap_or(store::StoreOutcome::Unknown))
 }
 
-/// Holds a watch until something was written or its time is over.
+/// Waits until a watch has new entries or its time is over.
 fn wait_for(
     shared: &Shared,
-    ask: &store::StoreRequest,
+    request: &store::StoreRequest,
     wait: Duration,
 ) -> Option<store::StoreOutcome> {
-    let store::StoreRequest::Watch { prefix, seen, .. } = ask else {
+    let store::StoreRequest::Watch { prefix, seen, .. } = request else {
         return None;
     };
     let end = shared.now() + wait;
     let mut fake = shared.fake();
-    // One call counted, however often it looks.
-    if let Some(refusal) = fake.admit(shared.now(), ask) {
+    // The watch counts as one call, however often it is checked.
+    if let Some(refusal) = fake.admit(shared.now(), request) {
         return Some(refusal);
     }
     loop {
@@ -146,7 +150,7 @@
         if outcome.is_some() {
             return outcome;
         }
-        let waited = shared.written.wait_timeout(fake, LOOK_INTERVAL);
+        let waited = shared.written.wait_timeout(fake, WATCH_CHECK_INTERVAL);
         fake = match waited {
             Ok((fake, _)) => fake,
             Err(error) => error.into_inner().0,
@@ -154,7 +158,7 @@
     }
 }
 
-fn question(request: &rouille::Request) -> Option<store::StoreRequest> {
+fn parse_request(request: &rouille::Request) -> Option<store::StoreRequest> {
     let url = request.url();
     let number = |name: &str| request.get_param(name)?.parse::<u64>().ok();
     let span = |name: &str| number(name).map(Duration::from_millis);
@@ -180,11 +184,11 @@
             let lease = store::LeaseId(lease);
             Some(store::StoreRequest::Renew { lease })
         }
-        (method, path) => entry_question(request, method, path),
+        (method, path) => parse_entry_request(request, method, path),
     }
 }
 
-fn entry_question(
+fn parse_entry_request(
     request: &rouille::Request,
     method: &str,
     path: &str,
@@ -194,7 +198,7 @@
     match method {
         "GET" => Some(store::StoreRequest::Get { key }),
         "PUT" => {
-            let base = match request.get_param("base")?.as_str() {
+            let condition = match request.get_param("base")?.as_str() {
                 "absent" => store::SwapCondition::Absent,
                 text => store::SwapCondition::At(store::StoreVersion(text.parse().ok()?)),
             };
@@ -204,7 +208,7 @@
             let lease = number("lease").map(store::LeaseId);
             Some(store::StoreRequest::Swap {
                 key,
-                condition: base,
+                condition,
                 value,
                 lease,
             })
@@ -225,7 +229,7 @@
         store::StoreOutcome::HistoryTrimmed => {
             rouille::Response::text("gone").with_status_code(410)
         }
-        // A broken body stands for a lost answer: the client can't tell what was done.
+        // An answer that the client does not understand stands for a lost one.
         store::StoreOutcome::Unknown => rouille::Response::text("lost").with_status_code(502),
     }
 }
--- a/crates/anvil_standins/tests/examples.rs
+++ b/crates/anvil_standins/tests/examples.rs
@@ -1,4 +1,4 @@
-//! The meshes and scenarios in `examples/` are read and checked.
+//! The meshes and scenarios in `examples/` are valid.
 
 #![allow(clippy::unwrap_used)]
 
@@ -27,14 +27,14 @@
 
 #[test]
 fn every_scenario_names_a_mesh() {
-    let mut seen = 0;
+    let mut count = 0;
     for entry in fs::read_dir(examples().join("scenarios")).unwrap() {
         let text = fs::read_to_string(entry.unwrap().path()).unwrap();
         let plan = scenario::ScenarioPlan::parse(&text).unwrap();
         assert!(examples().join(&plan.mesh).join("mesh.yaml").exists());
-        seen += 1;
+        count += 1;
     }
-    assert_eq!(seen, 21);
+    assert_eq!(count, 21);
 }
 
 #[test]
--- a/crates/anvil_standins/tests/store_http.rs
+++ b/crates/anvil_standins/tests/store_http.rs
@@ -1,4 +1,4 @@
-//! The store's client against its stand-in, over real HTTP.
+//! The HTTP client of the store against the stand-in.
 
 #![allow(clippy::unwrap_used)]
 
@@ -20,10 +20,10 @@
     (server, client)
 }
 
-fn swap(base: SwapCondition, value: &'static [u8]) -> StoreRequest {
+fn swap(condition: SwapCondition, value: &'static [u8]) -> StoreRequest {
     StoreRequest::Swap {
         key: StoreKey::new("rules/log/1"),
-        condition: base,
+        condition,
         value: Bytes::from_static(value),
         lease: None,
     }
@@ -59,24 +59,24 @@
 }
 
 #[test]
-fn a_store_that_is_down_did_nothing() {
-    // The asker may repeat the call: neither a refusal nor a refused connection had an effect.
+fn calls_to_a_store_that_is_down_have_no_effect() {
+    // The caller may repeat the call: neither a refusal nor a refused connection has an effect.
     let (server, client) = pair();
     server.set_faults(fake::StoreFaults {
         down: true,
         ..fake::StoreFaults::default()
     });
-    let ask = swap(SwapCondition::Absent, b"x");
-    assert_eq!(client.carry_out(&ask), StoreOutcome::Unavailable);
+    let request = swap(SwapCondition::Absent, b"x");
+    assert_eq!(client.carry_out(&request), StoreOutcome::Unavailable);
     assert!(server.entries().is_empty());
-    let nobody: SocketAddr = "127.0.0.1:9".parse().unwrap();
-    let client = HttpStore::new(vec![nobody]);
-    assert_eq!(client.carry_out(&ask), StoreOutcome::Unavailable);
+    let closed: SocketAddr = "127.0.0.1:9".parse().unwrap();
+    let client = HttpStore::new(vec![closed]);
+    assert_eq!(client.carry_out(&request), StoreOutcome::Unavailable);
 }
 
 #[test]
 fn a_lost_answer_is_unknown_although_the_write_took_effect() {
-    // The asker must read back before it says anything: the write stands, its answer does not.
+    // The write took effect but its answer is lost, so the caller must read back before it reports.
     let (server, client) = pair();
     server.set_faults(fake::StoreFaults {
         lost_answers: 100,
@@ -113,20 +113,20 @@
 }
 
 #[test]
-fn a_lapsed_lease_takes_its_entry_along() {
+fn an_expired_lease_removes_its_entry() {
     let (server, client) = pair();
     let lease = Duration::from_millis(30);
     let granted = client.carry_out(&StoreRequest::Grant { lease });
     let StoreOutcome::Done(StoreReply::Granted { lease }) = granted else {
         panic!("{granted:?}");
     };
-    let ask = StoreRequest::Swap {
+    let request = StoreRequest::Swap {
         key: StoreKey::new("contacts/zone/0"),
         condition: SwapCondition::Absent,
         value: Bytes::from_static(b"me"),
         lease: Some(lease),
     };
-    client.carry_out(&ask);
+    client.carry_out(&request);
     let lapsed = StoreOutcome::Done(StoreReply::Lapsed);
     while client.carry_out(&StoreRequest::Renew { lease }) != lapsed {
         thread::sleep(Duration::from_millis(40));
--- a/crates/anvil_store/src/budget.rs
+++ b/crates/anvil_store/src/budget.rs
@@ -1,17 +1,18 @@
-//! How many calls one node may make, so that the fleet as a whole stays within the store's rates.
+//! Limits the store calls of one node, so that the whole fleet stays within the store's rate
+//! limits.
 
 use std::time::Duration;
 
 use anvil_types::time;
 
-/// A node's share of the store's rates.
+/// A node's share of the store's rate limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BudgetLimits {
-    /// Time in which one more call is earned.
+    /// Time after which one more call is allowed.
     pub interval: Duration,
-    /// Calls that may follow one another at once.
+    /// Calls that may be made at once.
     pub burst: u32,
-    /// Calls out at the same moment, a waiting watch among them.
+    /// Concurrent calls, including a waiting watch.
     pub concurrent: u32,
 }
 
@@ -25,72 +26,72 @@
     }
 }
 
-/// Why a call is not made now.
+/// Why a call may not be made now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BudgetRefusal {
-    /// Too many calls are out.
+    /// Too many calls are in progress.
     Busy,
-    /// The rate is used up; the next call is earned then.
+    /// The rate limit is reached.
     Spent {
-        /// When.
+        /// When the next call is allowed.
         until: time::NodeTime,
     },
 }
 
-/// The calls of one node.
+/// The budget of one node's store calls.
 ///
-/// Nodes that retry in step after an outage would keep the store down; a node's own bound holds
-/// whatever its state modules ask for, and a call refused here is known not to have been made.
+/// Nodes that retry in step after an outage could keep the store down. The budget limits each node
+/// regardless of its state modules' demand, and a call refused here has certainly not been made.
 #[derive(Clone, Debug)]
 pub struct CallBudget {
     limits: BudgetLimits,
     tokens: u32,
-    earned: time::NodeTime,
-    out: u32,
+    refilled_at: time::NodeTime,
+    in_progress: u32,
 }
 
 impl CallBudget {
-    /// Starts with the whole burst.
+    /// Creates a budget with the full burst available.
     pub fn new(limits: BudgetLimits, now: time::NodeTime) -> Self {
         Self {
             limits,
             tokens: limits.burst,
-            earned: now,
-            out: 0,
+            refilled_at: now,
+            in_progress: 0,
         }
     }
 
-    /// Lets one call begin, or says why not; an admitted call must [`Self::end`].
+    /// Admits one call or returns why not. An admitted call must be followed by [`Self::end`].
     pub fn begin(&mut self, now: time::NodeTime) -> Result<(), BudgetRefusal> {
-        self.earn(now);
-        if self.out >= self.limits.concurrent {
+        self.refill(now);
+        if self.in_progress >= self.limits.concurrent {
             return Err(BudgetRefusal::Busy);
         }
         if self.tokens == 0 {
-            let until = self.earned + self.limits.interval;
+            let until = self.refilled_at + self.limits.interval;
             return Err(BudgetRefusal::Spent { until });
         }
         self.tokens -= 1;
-        self.out += 1;
+        self.in_progress += 1;
         Ok(())
     }
 
-    /// Notes that an admitted call ended.
+    /// Records the end of an admitted call.
     pub fn end(&mut self) {
-        self.out = self.out.saturating_sub(1);
+        self.in_progress = self.in_progress.saturating_sub(1);
     }
 
-    fn earn(&mut self, now: time::NodeTime) {
+    fn refill(&mut self, now: time::NodeTime) {
         let micros = self.limits.interval.as_micros().max(1);
-        let count = now.since(self.earned).as_micros() / micros;
+        let count = now.since(self.refilled_at).as_micros() / micros;
         let missing = u128::from(self.limits.burst - self.tokens);
         if count >= missing {
             self.tokens = self.limits.burst;
-            self.earned = now;
+            self.refilled_at = now;
             return;
         }
         let count = u32::try_from(count).unwrap_or(0);
         self.tokens += count;
-        self.earned = self.earned + self.limits.interval * count;
+        self.refilled_at = self.refilled_at + self.limits.interval * count;
     }
 }
--- a/crates/anvil_store/src/http.rs
+++ b/crates/anvil_store/src/http.rs
@@ -1,7 +1,7 @@
 //! The HTTP client of the platform's store.
 //!
-//! `attohttpc` opens a connection for each call. That costs a millisecond, which matters on the
-//! way of a request but not here: a node asks the store a few times a minute.
+//! `attohttpc` opens a connection for each call. That costs a millisecond, which would matter on
+//! the path of a request but not here: a node calls the store a few times a minute.
 
 use std::io;
 use std::net::SocketAddr;
@@ -15,12 +15,12 @@
 use crate::{platform, protocol};
 
 /// Longest wait for a connection.
-const CONNECT_WAIT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Longest wait for an answer, beyond the time that a watch waits by itself.
-const ANSWER_WAIT: Duration = Duration::from_secs(5);
+/// Longest wait for an answer, in addition to the waiting time of a watch.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Asks the store's addresses in turn, moving on where one is down.
+/// Client of a store with several addresses, which moves on to the next one if a call fails.
 #[derive(Debug)]
 pub struct HttpStore {
     addresses: Vec<SocketAddr>,
@@ -28,7 +28,7 @@
 }
 
 impl HttpStore {
-    /// Asks at `addresses`; without any, every call counts as unavailable.
+    /// Creates a client of `addresses`; without any, every call is unavailable.
     pub fn new(addresses: Vec<SocketAddr>) -> Self {
         Self {
             addresses,
@@ -37,37 +37,40 @@
     }
 
     fn address(&self) -> Option<SocketAddr> {
-        let place = self.preferred.load(Ordering::Relaxed);
-        let place = place.checked_rem(self.addresses.len())?;
-        self.addresses.get(place).copied()
+        let index = self.preferred.load(Ordering::Relaxed);
+        let index = index.checked_rem(self.addresses.len())?;
+        self.addresses.get(index).copied()
     }
 
-    fn move_on(&self) {
+    fn use_next_address(&self) {
         self.preferred.fetch_add(1, Ordering::Relaxed);
     }
 }
 
 impl platform::PlatformStore for HttpStore {
-    fn carry_out(&self, ask: &store::StoreRequest) -> store::StoreOutcome {
+    fn carry_out(&self, request: &store::StoreRequest) -> store::StoreOutcome {
         let Some(address) = self.address() else {
             return store::StoreOutcome::Unavailable;
         };
-        let outcome = conclude(send(address, ask), |status, headers, body| {
-            read(ask, status, headers, body)
+        let outcome = conclude(send(address, request), |status, headers, body| {
+            read(request, status, headers, body)
         });
         if matches!(
             outcome,
             store::StoreOutcome::Unavailable | store::StoreOutcome::Unknown
         ) {
-            self.move_on();
+            self.use_next_address();
         }
         outcome
     }
 }
 
-fn send(address: SocketAddr, ask: &store::StoreRequest) -> attohttpc::Result<attohttpc::Response> {
-    let url = format!("http://{address}{}", protocol::target_of(ask));
-    let (method, body, wait) = match ask {
+fn send(
+    address: SocketAddr,
+    request: &store::StoreRequest,
+) -> attohttpc::Result<attohttpc::Response> {
+    let url = format!("http://{address}{}", protocol::request_target(request));
+    let (method, body, wait) = match request {
         store::StoreRequest::Get { .. } | store::StoreRequest::List { .. } => {
             (attohttpc::Method::GET, Bytes::new(), Duration::ZERO)
         }
@@ -84,18 +87,18 @@
         }
     };
     attohttpc::RequestBuilder::new(method, url)
-        .connect_timeout(CONNECT_WAIT)
-        .read_timeout(ANSWER_WAIT + wait)
-        .timeout(ANSWER_WAIT + wait)
+        .connect_timeout(CONNECT_TIMEOUT)
+        .read_timeout(ANSWER_TIMEOUT + wait)
+        .timeout(ANSWER_TIMEOUT + wait)
         .follow_redirects(false)
         .bytes(body)
         .send()
 }
 
-/// What became of a call that was `sent`; every HTTP client of a store asks it.
+/// Determines the outcome of a call that was `sent`; shared by all HTTP clients of a store.
 ///
-/// `read` gets the status, the headers and the body of an answer that came whole, and gives none
-/// where it makes no sense. What is not told by such an answer has an open fate.
+/// `read` gets the status, headers and body of a complete answer and returns nothing if the answer
+/// is not understood. Without an answer that is understood, the outcome is unknown.
 pub fn conclude<R>(sent: attohttpc::Result<attohttpc::Response>, read: R) -> store::StoreOutcome
 where
     R: FnOnce(u16, &header::HeaderMap, Vec<u8>) -> Option<store::StoreOutcome>,
@@ -103,8 +106,8 @@
     let response = match sent {
         Ok(response) => response,
         Err(error) => {
-            log::debug!("the store can't be asked: {error}");
-            return failed(error);
+            log::debug!("the store call failed: {error}");
+            return outcome_of_failure(error);
         }
     };
     let (status, headers, body) = response.split();
@@ -112,20 +115,21 @@
     let body = match body.bytes() {
         Ok(body) => body,
         Err(error) => {
-            log::warn!("the store's answer, status {status}, broke off: {error}");
+            log::warn!("the store's answer with status {status} is incomplete: {error}");
             return store::StoreOutcome::Unknown;
         }
     };
     read(status, &headers, body).unwrap_or_else(|| {
-        log::warn!("the store's answer, status {status}, makes no sense");
+        log::warn!("the store's answer with status {status} is not understood");
         store::StoreOutcome::Unknown
     })
 }
 
-/// Tells a call that never left from one whose fate is open.
+/// Distinguishes a call that was not sent from one with unknown outcome.
 ///
-/// Only a refused connection is proof; a timeout may have struck before or behind the effect.
-fn failed(error: attohttpc::Error) -> store::StoreOutcome {
+/// Only a refused connection proves that the call had no effect; after a timeout it may have had
+/// one.
+fn outcome_of_failure(error: attohttpc::Error) -> store::StoreOutcome {
     match error.into_kind() {
         attohttpc::ErrorKind::Io(error) if error.kind() == io::ErrorKind::ConnectionRefused => {
             store::StoreOutcome::Unavailable
@@ -134,9 +138,9 @@
     }
 }
 
-/// Reads the answer; none where it makes no sense.
+/// Parses an answer. Returns nothing if it is not understood.
 fn read(
-    ask: &store::StoreRequest,
+    request: &store::StoreRequest,
     status: u16,
     headers: &header::HeaderMap,
     body: Vec<u8>,
@@ -152,8 +156,8 @@
             value: body.clone(),
         })
     };
-    let reply = match (ask, status) {
-        // The platform says 503 before it does anything.
+    let reply = match (request, status) {
+        // The platform answers 503 before a call has any effect.
         (_, 503) => return Some(store::StoreOutcome::Unavailable),
         (store::StoreRequest::Watch { .. }, 410) => {
             return Some(store::StoreOutcome::HistoryTrimmed);
--- a/crates/anvil_store/src/lib.rs
+++ b/crates/anvil_store/src/lib.rs
@@ -1,4 +1,4 @@
-//! The platform's key-value service: one trait, its HTTP client and the budget of its calls.
+//! Access to the platform's key-value service: a trait, its HTTP client and the budget of calls.
 //!
 //! See `docs/design/store.md`.
 
--- a/crates/anvil_store/src/platform.rs
+++ b/crates/anvil_store/src/platform.rs
@@ -1,11 +1,11 @@
-//! The one trait that the platform's store stands behind.
+//! The trait that clients of the platform's store implement.
 
 use anvil_types::store;
 
-/// Carries out questions, one at a time on the calling thread.
+/// Carries out store requests, one at a time on the calling thread.
 ///
-/// A trait, because the HTTP client and the fake of the tests both stand behind it.
+/// A trait, because the HTTP client and the fake store of the tests both implement it.
 pub trait PlatformStore {
-    /// Carries out `ask` and waits for its end; a watch waits as long as it says.
-    fn carry_out(&self, ask: &store::StoreRequest) -> store::StoreOutcome;
+    /// Carries out `request` and waits for its outcome; a watch waits as long as it specifies.
+    fn carry_out(&self, request: &store::StoreRequest) -> store::StoreOutcome;
 }
--- a/crates/anvil_store/src/protocol.rs
+++ b/crates/anvil_store/src/protocol.rs
@@ -1,6 +1,6 @@
-//! How questions and outcomes look over HTTP; the client and the stand-in both speak it.
+//! The HTTP form of requests and outcomes, shared by the client and the stand-in.
 //!
-//! | question | request | success |
+//! | operation | HTTP request | responses |
 //! |---|---|---|
 //! | get | `GET /kv/{key}` | 200, value, `x-version`; 404 |
 //! | swap | `PUT /kv/{key}?base=absent\|{version}&lease={id}` | 200, `x-version`; 412, current |
@@ -14,17 +14,17 @@
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-/// The header that tells an entry's version.
+/// The header with an entry's version.
 pub const VERSION_HEADER: &str = "x-version";
 
 /// One entry in a list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedEntry {
-    /// Its key.
+    /// The entry's key.
     pub key: String,
-    /// The write that made it.
+    /// The version of the write that created it.
     pub version: u64,
-    /// Its value, as lower-case hex digits.
+    /// The entry's value in lower-case hexadecimal digits.
     pub value: String,
 }
 
@@ -40,7 +40,7 @@
 }
 
 impl ListedBody {
-    /// The body that tells `entries`.
+    /// The body that lists `entries`.
     pub fn new(entries: &[store::StoreEntry], seen: store::StoreVersion, more: bool) -> Self {
         let listed = |entry: &store::StoreEntry| ListedEntry {
             key: entry.key.as_str().to_owned(),
@@ -54,7 +54,7 @@
         }
     }
 
-    /// The reply that the body stands for; none where a value is no hex text.
+    /// Converts the body into a reply. Returns nothing if a value is not valid hexadecimal text.
     pub fn into_reply(self) -> Option<store::StoreReply> {
         let entry = |listed: ListedEntry| {
             Some(store::StoreEntry {
@@ -72,9 +72,9 @@
     }
 }
 
-/// The path and query of a question.
-pub fn target_of(ask: &store::StoreRequest) -> String {
-    match ask {
+/// The path and query of a request.
+pub fn request_target(request: &store::StoreRequest) -> String {
+    match request {
         store::StoreRequest::Get { key } => format!("/kv/{key}"),
         store::StoreRequest::Swap {
             key,
--- a/crates/anvil_testkit/src/lib.rs
+++ b/crates/anvil_testkit/src/lib.rs
@@ -1,7 +1,7 @@
-//! Helps tests to name their cases, so that a failing run says which case failed.
+//! Table-driven tests with a name for each case.
 
 /// Turns each `name => (arguments)` line into a test of that name which calls `$check` with the
-/// arguments, so that a table of cases reads as a table and still fails case by case.
+/// arguments, so that each case of a table passes or fails by its own name.
 #[macro_export]
 macro_rules! test_cases {
     ($check:ident: $($name:ident => ($($argument:expr),* $(,)?)),+ $(,)?) => {
