--- a/crates/anvil_node/examples/added_latency.rs
+++ b/crates/anvil_node/examples/added_latency.rs
@@ -1,8 +1,10 @@
-//! Measures what two nodes add to a request, against the same request sent to its target directly.
+//! Measures the latency that two nodes add to a request, compared with the same request sent to its
+//! target directly.
 //!
-//! Both sides share one run: requests alternate between them at a fixed rate, whatever the answers
-//! do, over 350 open connections each. Everything stands in one process on the loopback address,
-//! so the figures hold the nodes' own work and no network. See `docs/MEASUREMENTS.md`.
+//! Both sides are measured in one run: requests alternate between them at a fixed rate,
+//! independently of the answers, over 350 open connections each. Everything runs in one process on
+//! the loopback address, so the figures include the work of the nodes but no network. See
+//! `docs/MEASUREMENTS.md`.
 //!
 //! `cargo run --release -p anvil_node --example added_latency`
 
@@ -24,31 +26,31 @@
 use tokio::runtime;
 use tokio::sync::Mutex as AsyncMutex;
 
-/// Connections of each side.
+/// Number of connections of each side.
 const CONNECTIONS: usize = 350;
 
-/// Bytes of each request's and answer's body.
+/// Length of the body of each request and answer, in bytes.
 const BODY_BYTES: usize = 1_024;
 
-/// Requests a second of each side, and how long each rate is measured.
+/// Requests per second of each side, and how long each rate is measured.
 const RATES: [(u32, Duration); 3] = [
     (100, Duration::from_secs(30)),
     (500, Duration::from_secs(12)),
     (2_000, Duration::from_secs(10)),
 ];
 
-/// Requests before each measurement, left out of it.
+/// Time before each measurement in which requests are sent but not recorded.
 const WARM_UP: Duration = Duration::from_secs(2);
 
 /// Longest wait until the first node knows the second one's target.
-const JOIN_WAIT: Duration = Duration::from_secs(20);
+const JOIN_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// The service of the target.
 const SERVICE: &str = "audiencias";
 
 type Sender = http1::SendRequest<Full<Bytes>>;
 
-/// One side of the comparison: connections, and the times their requests took.
+/// One side of the comparison: its connections and the latencies of its requests.
 #[derive(Clone)]
 struct MeasuredSide {
     connections: Arc<Vec<AsyncMutex<Sender>>>,
@@ -73,9 +75,10 @@
         })
     }
 
-    /// Sends one request and notes the time from its turn to its whole answer.
-    async fn ask(&self, turn: usize, noted: bool) -> eyre::Result<()> {
-        let begun = Instant::now();
+    /// Sends one request and, if `recorded`, records the time until its complete answer, including
+    /// the wait for a free connection.
+    async fn send_request(&self, turn: usize, recorded: bool) -> eyre::Result<()> {
+        let started_at = Instant::now();
         let mut sender = self.connections[turn % CONNECTIONS].lock().await;
         sender.ready().await?;
         let request = Request::post("/echo")
@@ -84,9 +87,9 @@
         let response = sender.send_request(request).await?;
         ensure!(response.status() == 200, "status {}", response.status());
         let body = response.into_body().collect().await?.to_bytes();
-        ensure!(body.len() == BODY_BYTES, "a short answer");
-        if noted {
-            let micros = u64::try_from(begun.elapsed().as_micros())?;
+        ensure!(body.len() == BODY_BYTES, "the answer is too short");
+        if recorded {
+            let micros = u64::try_from(started_at.elapsed().as_micros())?;
             let mut histogram = self.micros.lock().unwrap_or_else(PoisonError::into_inner);
             histogram.record(micros)?;
         }
@@ -95,9 +98,9 @@
 
     fn take(&self) -> Histogram<u64> {
         let mut histogram = self.micros.lock().unwrap_or_else(PoisonError::into_inner);
-        let taken = histogram.clone();
+        let recorded = histogram.clone();
         histogram.reset();
-        taken
+        recorded
     }
 }
 
@@ -123,29 +126,30 @@
     Ok(())
 }
 
-/// Starts requests at fixed times, alternating between the sides, from a thread of its own: the
-/// runtime's timers are only good to a millisecond.
+/// Starts requests at fixed times, alternating between the sides.
+///
+/// It runs outside the runtime, whose timers have a resolution of only a millisecond.
 fn pace(
     runtime: &runtime::Runtime,
     sides: [&MeasuredSide; 2],
     rate: u32,
     span: Duration,
-    noted: bool,
+    recorded: bool,
 ) -> eyre::Result<()> {
     let sides = sides.map(Clone::clone);
     let step = Duration::from_secs(1) / (2 * rate);
     let turns = usize::try_from(span.as_nanos() / step.as_nanos())?;
     let handle = runtime.handle().clone();
-    let begun = Instant::now();
-    let mut asked = Vec::with_capacity(turns);
+    let started_at = Instant::now();
+    let mut requests = Vec::with_capacity(turns);
     for turn in 0..turns {
-        let at = begun + step * u32::try_from(turn)?;
+        let at = started_at + step * u32::try_from(turn)?;
         thread::sleep(at.saturating_duration_since(Instant::now()));
         let side = sides[turn % 2].clone();
-        asked.push(handle.spawn(async move { side.ask(turn / 2, noted).await }));
+        requests.push(handle.spawn(async move { side.send_request(turn / 2, recorded).await }));
     }
-    for asked in asked {
-        runtime.block_on(asked)??;
+    for request in requests {
+        runtime.block_on(request)??;
     }
     Ok(())
 }
@@ -159,7 +163,7 @@
     };
     row("direct", direct_ms, direct.len());
     row("two nodes", through_ms, through.len());
-    let added = [0, 1, 2].map(|place| through_ms[place] - direct_ms[place]);
+    let added = [0, 1, 2].map(|index| through_ms[index] - direct_ms[index]);
     row("added", added, through.len());
 }
 
@@ -186,21 +190,24 @@
          \"connections\":350,\"lease_ms\":600000}}"
     );
     let response = attohttpc::put(format!("http://{admin}/target")).text(body);
-    ensure!(response.send()?.is_success(), "the announcement is refused");
+    ensure!(
+        response.send()?.is_success(),
+        "the announcement was refused"
+    );
     Ok(())
 }
 
-/// Waits until the entry node has heard of the target.
+/// Waits until the entry node has learned of the target.
 async fn join(caller: SocketAddr) -> eyre::Result<()> {
     let side = MeasuredSide::connect(caller).await?;
-    let until = Instant::now() + JOIN_WAIT;
-    let mut last = eyre!("never asked");
+    let until = Instant::now() + JOIN_TIMEOUT;
+    let mut last = eyre!("no request was sent");
     while Instant::now() < until {
-        match side.ask(0, false).await {
+        match side.send_request(0, false).await {
             Ok(()) => return Ok(()),
             Err(error) => last = error,
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    Err(last.wrap_err("the entry node never heard of the target"))
+    Err(last.wrap_err("the entry node did not learn of the target"))
 }
--- a/crates/anvil_node/examples/demo.rs
+++ b/crates/anvil_node/examples/demo.rs
@@ -1,4 +1,4 @@
-//! A newcomer's demo: sixteen nodes and stand-in targets on loopback, in this one process.
+//! Demo: sixteen nodes with stand-in targets on loopback, in one process.
 //!
 //! `cargo run --release --example demo`
 
@@ -15,7 +15,7 @@
 use anvil_standins::{experiment, ledger, mesh, process, report, scenario};
 use anvil_types::context;
 
-/// The scenario: the deepest of four services slows down while demand doubles.
+/// The scenario: the last of four services in the call chain slows down while demand doubles.
 const SCENARIO: &str = "\
 name: demo
 mesh: reclamo-simple
@@ -41,7 +41,7 @@
     }
 
     fn kill(&mut self) {
-        self.end(2);
+        self.stop_with(2);
     }
 
     fn usage(&self) -> Option<ledger::UsageRecord> {
@@ -49,21 +49,21 @@
     }
 
     fn stop(&mut self) -> eyre::Result<()> {
-        self.end(1);
+        self.stop_with(1);
         Ok(())
     }
 }
 
 impl LocalNode {
-    fn end(&mut self, signals: usize) {
+    fn stop_with(&mut self, signals: usize) {
         let Some(running) = self.running.take() else {
             return;
         };
         for _ in 0..signals {
             running.stop();
         }
-        // The node waits on a runtime of its own, which another runtime's thread must not. One that
-        // panicked has shown it on the standard error already.
+        // The node blocks on its own runtime, which is not allowed on a thread of another runtime.
+        // A panic of the node was already printed to standard error.
         let _ = thread::spawn(move || running.wait()).join();
     }
 }
@@ -121,7 +121,7 @@
 }
 
 fn print(text: &str) {
-    // A reader that closed the pipe wants no more of the demo.
+    // A closed pipe is not an error: the reader does not need the rest of the output.
     let _ = std::io::stdout().write_all(text.as_bytes());
 }
 
@@ -176,22 +176,22 @@
     }
 }
 
-/// What each rule decided, by the place that replies name.
+/// Prints how many requests each rule decided, by the rule index in the replies.
 fn print_rules(ledger: &ledger::RunLedger, rules: &str) -> eyre::Result<()> {
     let document = parse::parse_rules("rules.yaml", rules)?;
-    let mut decided: BTreeMap<String, (usize, BTreeMap<String, usize>)> = BTreeMap::new();
+    let mut decisions: BTreeMap<String, (usize, BTreeMap<String, usize>)> = BTreeMap::new();
     for record in ledger.callers() {
-        let place = record.rule.as_deref().and_then(|text| text.parse().ok());
-        let rule = place.and_then(|place: usize| document.rules().get(place));
+        let index = record.rule.as_deref().and_then(|text| text.parse().ok());
+        let rule = index.and_then(|index: usize| document.rules().get(index));
         let name = rule.map_or("built-in default", |rule| rule.name.as_str());
-        let entry = decided.entry(name.to_owned()).or_default();
+        let entry = decisions.entry(name.to_owned()).or_default();
         entry.0 += 1;
         if let Some(reason) = record.reason {
             *entry.1.entry(reason).or_default() += 1;
         }
     }
     print("\nrule              decided  refused or failed, by reason\n");
-    for (name, (count, reasons)) in decided {
+    for (name, (count, reasons)) in decisions {
         let reasons: Vec<_> = reasons
             .iter()
             .map(|(reason, count)| format!("{reason} {count}"))
--- a/crates/anvil_node/examples/experiment.rs
+++ b/crates/anvil_node/examples/experiment.rs
@@ -1,4 +1,4 @@
-//! Runs scenarios on real node processes and prints a table of what callers got.
+//! Runs scenarios on real node processes and prints a table of the results of their callers.
 //!
 //! `cargo build --release && cargo run --release --example experiment -- --help`
 
@@ -19,13 +19,13 @@
     experiment [--scenarios NAME,...] [--variants NAME,...] [--seeds COUNT] [--folder DIR]
 
 OPTIONS:
-    --scenarios NAME,...  Files of examples/scenarios without their ending; all by default
+    --scenarios NAME,...  Files of examples/scenarios without their extension; all by default
     --variants NAME,...   full, naive, or no-SAFEGUARD such as no-cut-line; full,naive by default
     --seeds COUNT         Runs of each, with seeds from one; 3 by default
-    --folder DIR          Where settings and logs go; a folder of the system's by default
+    --folder DIR          Folder for settings and logs; a temporary folder by default
 ";
 
-/// The switches of the safeguards, as `docs/design` names them.
+/// The safeguards that can be switched off, as named in `docs/design`.
 const SAFEGUARDS: [&str; 18] = [
     "adaptive-limit",
     "cold-ramp",
@@ -87,7 +87,7 @@
 
 fn print(text: &str) {
     use std::io::Write;
-    // A reader that closed the pipe wants no more of the table.
+    // A closed pipe is not an error: the reader does not need the rest of the table.
     let _ = std::io::stdout().write_all(text.as_bytes());
 }
 
@@ -169,15 +169,15 @@
     }
     let report = report::RunReport::of(&ledger, &scenario);
     if report.strangers > 0 {
-        // Another program's requests came to these targets, so no figure of the run means anything.
-        warn(&format!("{} RUNS OF STRANGERS\n", report.strangers));
+        // The targets received requests of another program, so the figures of the run are invalid.
+        warn(&format!("{} RUNS OF OTHER PROGRAMS\n", report.strangers));
     }
     Ok(report)
 }
 
 fn warn(text: &str) {
     use std::io::Write;
-    // Nobody reads the warnings; the table is still wanted.
+    // A closed standard error is not a failure: the table is still printed.
     let _ = std::io::stderr().write_all(text.as_bytes());
 }
 
@@ -194,7 +194,7 @@
     })
 }
 
-/// The node's program stands beside the folder of this example.
+/// The path of the node's binary, in the parent of the folder of this example.
 fn node_binary() -> eyre::Result<PathBuf> {
     let here = env::current_exe()?;
     let folder = here.parent().and_then(Path::parent);
@@ -245,8 +245,8 @@
         |report| report.cut,
     ];
     for count in counts {
-        let most = reports.iter().map(count).max().unwrap_or(0);
-        cells.push(most.to_string());
+        let max = reports.iter().map(count).max().unwrap_or(0);
+        cells.push(max.to_string());
     }
     let whole: usize = reports.iter().map(|report| report.all.whole).sum();
     let sent: usize = reports.iter().map(|report| report.all.sent).sum();
@@ -261,26 +261,26 @@
     format!("| {} |\n", cells.join(" | "))
 }
 
-/// Median and range.
+/// Formats the median and the range.
 fn spread(mut values: Vec<f64>, digits: usize) -> String {
     values.sort_unstable_by(f64::total_cmp);
-    let (Some(least), Some(most)) = (values.first(), values.last()) else {
+    let (Some(min), Some(max)) = (values.first(), values.last()) else {
         return "–".to_owned();
     };
     let median = values[values.len() / 2];
     if values.len() == 1 {
         return format!("{median:.digits$}");
     }
-    format!("{median:.digits$} ({least:.digits$}–{most:.digits$})")
+    format!("{median:.digits$} ({min:.digits$}–{max:.digits$})")
 }
 
 fn recovery(reports: &[report::RunReport]) -> String {
-    let back: Vec<f64> = reports
+    let recovered: Vec<f64> = reports
         .iter()
         .filter_map(|report| report.recovery)
         .collect();
-    let never = reports.len() - back.len();
-    let mut text = spread(back, 1);
+    let never = reports.len() - recovered.len();
+    let mut text = spread(recovered, 1);
     if never > 0 {
         text = format!("{text}, never in {never}");
     }
--- a/crates/anvil_node/examples/fleet_processes.rs
+++ b/crates/anvil_node/examples/fleet_processes.rs
@@ -1,8 +1,8 @@
-//! Prints what idle node processes cost as their number grows, on loopback with a stand-in store.
+//! Measures the cost of idle node processes as their number grows, on loopback with a stand-in
+//! store.
 //!
-//! Run it with
-//! `cargo build --release -p anvil_node && cargo run --release -p anvil_node --example fleet_processes`;
-//! the figures stand in `docs/CAPACITY.md`. It takes about two minutes.
+//! Run it with `cargo build --release -p anvil_node && cargo run --release -p anvil_node --example
+//! fleet_processes`; the results are in `docs/CAPACITY.md`. It takes about two minutes.
 
 use std::path::{Path, PathBuf};
 use std::thread;
@@ -12,17 +12,17 @@
 use anvil_standins::store::server;
 use eyre::{ContextCompat, ensure};
 
-/// Numbers of processes.
+/// The numbers of processes that are measured.
 const SIZES: [usize; 4] = [8, 16, 32, 64];
 
-/// Time over which the idle processes are watched.
-const WATCHED: Duration = Duration::from_secs(15);
+/// Time over which the idle processes are measured.
+const MEASURED_TIME: Duration = Duration::from_secs(15);
 
-/// Longest wait for all to know each other.
-const JOIN_WAIT: Duration = Duration::from_secs(60);
+/// Longest time until all processes know each other.
+const JOIN_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Ticks of the kernel's processor accounts in a second.
-const TICKS: f64 = 100.0;
+/// Clock ticks per second in the kernel's processor time accounting.
+const TICKS_PER_SECOND: f64 = 100.0;
 
 fn main() -> eyre::Result<()> {
     let binary = std::env::current_exe()?;
@@ -57,25 +57,28 @@
         })?);
     }
     while !nodes.iter().all(|node| knows(node, size)) {
-        ensure!(start.elapsed() < JOIN_WAIT, "{size} processes did not meet");
+        ensure!(
+            start.elapsed() < JOIN_TIMEOUT,
+            "{size} processes did not join"
+        );
         thread::sleep(Duration::from_millis(100));
     }
     let joined = start.elapsed();
     let before = sums(&nodes)?;
     let counts = store.counts();
-    thread::sleep(WATCHED);
+    thread::sleep(MEASURED_TIME);
     let after = sums(&nodes)?;
     let later = store.counts();
-    let each = WATCHED.as_secs_f64() * size as f64;
+    let process_seconds = MEASURED_TIME.as_secs_f64() * size as f64;
     println!(
-        "{size} processes: all met after {:.1} s; each {:.1} MB, {:.3}% of a core, {:.1} datagrams \
-         sent a second; store {:.1} reads and {:.1} writes a second",
+        "{size} processes: all joined after {:.1} s; each {:.1} MB, {:.3}% of a core, {:.1} \
+         datagrams sent a second; store {:.1} reads and {:.1} writes a second",
         joined.as_secs_f64(),
         after.resident as f64 / size as f64 / 1e6,
-        100.0 * (after.ticks - before.ticks) as f64 / TICKS / each,
-        (after.datagrams - before.datagrams) as f64 / each,
-        (later.reads - counts.reads) as f64 / WATCHED.as_secs_f64(),
-        (later.writes - counts.writes) as f64 / WATCHED.as_secs_f64(),
+        100.0 * (after.ticks - before.ticks) as f64 / TICKS_PER_SECOND / process_seconds,
+        (after.datagrams - before.datagrams) as f64 / process_seconds,
+        (later.reads - counts.reads) as f64 / MEASURED_TIME.as_secs_f64(),
+        (later.writes - counts.writes) as f64 / MEASURED_TIME.as_secs_f64(),
     );
     Ok(())
 }
@@ -90,7 +93,7 @@
     )
 }
 
-/// What all processes together used so far.
+/// Resources that all processes together have used so far.
 struct ProcessSums {
     resident: u64,
     ticks: u64,
--- a/crates/anvil_node/examples/library_fit.rs
+++ b/crates/anvil_node/examples/library_fit.rs
@@ -1,5 +1,5 @@
-//! Measures how the HTTP libraries fit the path of requests: connections opened, and threads and
-//! memory at 350 open connections. See `docs/DEPENDENCIES.md`.
+//! Measures whether the HTTP libraries suit the path of requests: connections opened, and threads
+//! and memory at 350 open connections. See `docs/DEPENDENCIES.md`.
 //!
 //! `cargo run --release -p anvil_node --example library_fit`
 
@@ -12,10 +12,10 @@
 use anvil_standins::http_target;
 use eyre::{ensure, eyre};
 
-/// Connections held open.
+/// Number of connections held open.
 const CONNECTIONS: usize = 350;
 
-/// Requests sent one after the other.
+/// Number of sequential requests.
 const REQUESTS: u32 = 1_000;
 
 /// The service of the target.
@@ -31,18 +31,18 @@
 fn main() -> eyre::Result<()> {
     println!("| server, {CONNECTIONS} open connections | threads added | memory added, KiB |");
     println!("|---|---|---|");
-    hold("rouille", rouille_server()?)?;
+    measure_open_connections("rouille", rouille_server()?)?;
     let node = node::start(&node_settings()?)?;
-    hold("caller edge (hyper)", node.bound().caller)?;
+    measure_open_connections("caller edge (hyper)", node.bound().caller)?;
     println!();
     println!("| client, {REQUESTS} requests | connections opened | µs a request |");
     println!("|---|---|---|");
     let target = http_target::StandInTarget::start_forgetful()?;
-    ask("attohttpc to the target", target.address(), &target)?;
+    measure_client("attohttpc to the target", target.address(), &target)?;
     announce(node.bound().admin, target.address())?;
     let before = target.connections();
     let caller = node.bound().caller;
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let mut stream = TcpStream::connect(caller)?;
     stream.set_nodelay(true)?;
     for _ in 0..REQUESTS {
@@ -50,49 +50,53 @@
     }
     print_client(
         "node's target edge (hyper), caller and node included",
-        begun,
+        started_at,
         target.connections() - before,
     );
     Ok(())
 }
 
-/// Opens connections that have each sent one request, and prints what holding them costs.
-fn hold(name: &str, address: SocketAddr) -> eyre::Result<()> {
+/// Opens connections, sends one request on each, and prints the cost of keeping them open.
+fn measure_open_connections(name: &str, address: SocketAddr) -> eyre::Result<()> {
     let before = process_size()?;
-    let mut held = Vec::with_capacity(CONNECTIONS);
+    let mut streams = Vec::with_capacity(CONNECTIONS);
     for _ in 0..CONNECTIONS {
         let mut stream = TcpStream::connect(address)?;
         exchange(&mut stream)?;
-        held.push(stream);
+        streams.push(stream);
     }
     let after = process_size()?;
     let threads = after.threads - before.threads;
     let kibibytes = after.kibibytes - before.kibibytes;
     println!("| {name} | {threads} | {kibibytes} |");
-    drop(held);
-    // Closed connections give their threads back before the next measurement.
+    drop(streams);
+    // The threads of the closed connections end before the next measurement.
     std::thread::sleep(Duration::from_secs(1));
     Ok(())
 }
 
-fn ask(name: &str, address: SocketAddr, target: &http_target::StandInTarget) -> eyre::Result<()> {
+fn measure_client(
+    name: &str,
+    address: SocketAddr,
+    target: &http_target::StandInTarget,
+) -> eyre::Result<()> {
     let before = target.connections();
-    let begun = Instant::now();
+    let started_at = Instant::now();
     for _ in 0..REQUESTS {
         let response = attohttpc::get(format!("http://{address}/")).send()?;
         ensure!(response.is_success(), "status {}", response.status());
         response.bytes()?;
     }
-    print_client(name, begun, target.connections() - before);
+    print_client(name, started_at, target.connections() - before);
     Ok(())
 }
 
-fn print_client(name: &str, begun: Instant, opened: u64) {
-    let each = begun.elapsed() / REQUESTS;
+fn print_client(name: &str, started_at: Instant, opened: u64) {
+    let each = started_at.elapsed() / REQUESTS;
     println!("| {name} | {opened} | {} |", each.as_micros());
 }
 
-/// One request and its whole answer on a connection that stays open.
+/// Sends one request and reads its complete response on a connection that stays open.
 fn exchange(stream: &mut TcpStream) -> eyre::Result<()> {
     let request = format!("GET / HTTP/1.1\r\nhost: {SERVICE}\r\n\r\n");
     stream.write_all(request.as_bytes())?;
@@ -100,7 +104,7 @@
     let mut part = [0; 4_096];
     loop {
         let read = stream.read(&mut part)?;
-        ensure!(read > 0, "closed");
+        ensure!(read > 0, "the connection was closed");
         answer.extend_from_slice(&part[..read]);
         let text = String::from_utf8_lossy(&answer).to_ascii_lowercase();
         let Some((head, body)) = text.split_once("\r\n\r\n") else {
@@ -152,6 +156,9 @@
          \"connections\":350,\"lease_ms\":600000}}"
     );
     let response = attohttpc::put(format!("http://{admin}/target")).text(body);
-    ensure!(response.send()?.is_success(), "the announcement is refused");
+    ensure!(
+        response.send()?.is_success(),
+        "the announcement was refused"
+    );
     Ok(())
 }
--- a/crates/anvil_node/examples/store.rs
+++ b/crates/anvil_node/examples/store.rs
@@ -1,4 +1,4 @@
-//! The platform's key-value service as a stand-in, for a first try of real nodes.
+//! A stand-in for the platform's key-value store, for trying out real nodes.
 //!
 //! `cargo run --release --example store -- 127.0.0.1:8083`
 
@@ -12,7 +12,7 @@
     let mut arguments = pico_args::Arguments::from_env();
     let address: SocketAddr = arguments.free_from_str()?;
     let store = server::StoreServer::bind(address, 1)?;
-    let line = format!("the store's stand-in listens at {}\n", store.address());
+    let line = format!("the stand-in store listens at {}\n", store.address());
     std::io::stdout().write_all(line.as_bytes())?;
     loop {
         thread::park();
--- a/crates/anvil_node/examples/target.rs
+++ b/crates/anvil_node/examples/target.rs
@@ -10,8 +10,10 @@
 use anvil_standins::http_target;
 use eyre::ensure;
 
-/// How often the announcement is renewed, and how long it lasts.
-const RENEW_PERIOD: Duration = Duration::from_secs(1);
+/// Interval at which the announcement is renewed.
+const RENEW_INTERVAL: Duration = Duration::from_secs(1);
+
+/// Lease of an announcement, in milliseconds.
 const LEASE_MS: u64 = 5_000;
 
 fn main() -> eyre::Result<()> {
@@ -29,16 +31,16 @@
         "connections": 350,
         "lease_ms": LEASE_MS,
     });
-    let mut said = false;
+    let mut printed = false;
     loop {
         let url = format!("http://{admin}/target");
         let answer = attohttpc::put(url).text(announcement.to_string()).send()?;
         ensure!(answer.is_success(), "refused: {}", answer.text()?);
-        if !said {
+        if !printed {
             let line = format!("{service} at {} announced to {admin}\n", target.address());
             std::io::stdout().write_all(line.as_bytes())?;
-            said = true;
+            printed = true;
         }
-        thread::sleep(RENEW_PERIOD);
+        thread::sleep(RENEW_INTERVAL);
     }
 }
--- a/crates/anvil_node/tests/admin_edge.rs
+++ b/crates/anvil_node/tests/admin_edge.rs
@@ -1,4 +1,5 @@
-//! Operators and the target talk to the admin endpoint; nonsense is refused, counted and explained.
+//! Requests of operators and targets to the admin edge; invalid ones are refused, counted and
+//! explained.
 
 #![allow(clippy::unwrap_used)]
 
@@ -34,7 +35,7 @@
 #[test]
 fn metrics_have_help_types_and_units() {
     let pair = common::Pair::start("");
-    pair.assert_lives();
+    pair.assert_serving();
     let response = get(&pair, "/metrics");
     let text = response.text().unwrap();
     assert!(
@@ -45,7 +46,7 @@
     let samples = text.lines().filter(|line| !line.starts_with('#'));
     for sample in samples {
         let name = sample.split(['{', ' ']).next().unwrap();
-        // The samples of a histogram stand under the name of their family.
+        // The samples of a histogram are documented under the name of their family.
         let suffixes = ["_bucket", "_sum", "_count"];
         let families = suffixes.iter().filter_map(|end| name.strip_suffix(end));
         let histogram = |family: &&str| text.contains(&format!("# TYPE {family} histogram\n"));
@@ -62,7 +63,7 @@
 }
 
 #[test]
-fn rules_come_as_yaml() {
+fn rules_are_returned_as_yaml() {
     let pair = common::Pair::start("");
     let response = get(&pair, "/rules");
     assert_eq!(response.status(), 200);
@@ -78,18 +79,18 @@
     let response = attohttpc::post(url).text(body).send().unwrap();
     assert_eq!(response.status(), 200);
     assert_eq!(response.headers()["anvil-revision"], "0");
-    let told: Value = serde_json::from_str(&response.text().unwrap()).unwrap();
-    assert_eq!(told["revision"], 0, "{told}");
+    let body: Value = serde_json::from_str(&response.text().unwrap()).unwrap();
+    assert_eq!(body["revision"], 0, "{body}");
     let reason = "no rule's condition holds, so the defaults decide";
-    assert_eq!(told["rule"]["reason"], reason, "{told}");
-    let decision = told["rule"]["decision"].as_array().unwrap();
+    assert_eq!(body["rule"]["reason"], reason, "{body}");
+    let decision = body["rule"]["decision"].as_array().unwrap();
     let idempotent = decision.iter().find(|field| field["field"] == "idempotent");
-    assert_eq!(idempotent.unwrap()["from"], "method", "{told}");
+    assert_eq!(idempotent.unwrap()["from"], "method", "{body}");
 }
 
 fn check_apply(text: &str, base: &str, status: u16, field: &str, expected: &Value) {
-    // What the operators' command tells rests on the status and these fields alone: whether
-    // nothing was changed, and why, or whether nobody knows.
+    // `anvilctl` derives only from the status and these fields whether the rules were changed, and
+    // why not.
     let pair = common::Pair::start("");
     let url = format!("http://{}/rules", pair.node.bound().admin);
     let request = attohttpc::post(url).header("anvil-change", "1f");
@@ -99,12 +100,12 @@
         .send()
         .unwrap();
     assert_eq!(response.status().as_u16(), status);
-    let told: Value = serde_json::from_str(&response.text().unwrap()).unwrap();
-    assert_eq!(told.pointer(field), Some(expected), "{told}");
+    let body: Value = serde_json::from_str(&response.text().unwrap()).unwrap();
+    assert_eq!(body.pointer(field), Some(expected), "{body}");
 }
 
 test_cases! { check_apply:
-    wrong_rules_tell_every_fault => (
+    invalid_rules_list_every_fault => (
         "rules:\n- {name: A, then: {retries: 99}}", "0", 422, "/faults/1/field",
         &"rules[0].then.retries".into()
     ),
@@ -120,7 +121,7 @@
     path: &str,
     body: &str,
     status: u16,
-    said: &str,
+    expected: &str,
     cause: counters::EdgeCause,
 ) {
     let pair = common::Pair::start("");
@@ -130,24 +131,27 @@
     let response = request.text(body).send().unwrap();
     assert_eq!(response.status().as_u16(), status);
     let text = response.text().unwrap();
-    assert!(text.contains(said), "{said:?} is missing in: {text}");
+    assert!(
+        text.contains(expected),
+        "{expected:?} is missing in: {text}"
+    );
     pair.await_count(cause, 1);
-    pair.assert_lives();
+    pair.assert_serving();
 }
 
-fn nonsense(body: &str, said: &str) {
+fn announcement_refused(body: &str, expected: &str) {
     refused(
         "PUT",
         "/target",
         body,
         422,
-        said,
+        expected,
         counters::EdgeCause::AnnouncementRefused,
     );
 }
 
 test_cases! {
-    nonsense:
+    announcement_refused:
     no_json => ("slots: 4", "malformed"),
     empty_body => ("", "malformed"),
     unknown_field => (r#"{"service":"a","address":"127.0.0.1:1","slots":1,"connections":1,"lease_ms":1000,"weight":2}"#, "weight"),
@@ -180,11 +184,11 @@
     }
 }
 
-// The target says that it leaves; from then on its node refuses requests as not run.
+// After the target has announced that it is leaving, its node refuses requests as not run.
 #[test]
 fn a_leaving_target_gets_no_more_requests() {
     let pair = common::Pair::start("");
-    pair.assert_lives();
+    pair.assert_serving();
     let url = format!("http://{}/target", pair.node.bound().admin);
     assert_eq!(attohttpc::delete(url).send().unwrap().status(), 204);
     let response = pair.request("POST", "/claims").text("one").send().unwrap();
--- a/crates/anvil_node/tests/bad_callers.rs
+++ b/crates/anvil_node/tests/bad_callers.rs
@@ -1,4 +1,5 @@
-//! Bad requests get a clear error each, are counted, and leave the node alive.
+//! Malformed, oversized and slow requests are refused with a clear error and counted, and the node
+//! keeps serving.
 
 #![allow(clippy::unwrap_used)]
 
@@ -9,7 +10,7 @@
 use anvil_node::counters;
 use anvil_testkit::test_cases;
 
-/// Short waits, so that slow callers are found out within the test.
+/// Short timeouts, so that slow callers are detected quickly.
 const LIMITS: &str = "  header_wait_ms: 100\n  body_wait_ms: 100\n  header_bytes: 8192\n  \
                       header_count: 20\n  caller_connections: 8\n";
 
@@ -21,8 +22,12 @@
         "{answer:?}"
     );
     pair.await_count(cause, 1);
-    pair.assert_lives();
-    assert_eq!(pair.target.seen().len(), 1, "only the check of life ran");
+    pair.assert_serving();
+    assert_eq!(
+        pair.target.seen().len(),
+        1,
+        "only the check of assert_serving ran"
+    );
 }
 
 const CLOSE: &str = "connection: close\r\n\r\n";
@@ -77,9 +82,9 @@
     ),
 }
 
-// The caller learns of the limit only while it sends, and reads the reply when all is sent. The
-// node answers 413, ends its side and drops the rest; closed at once, the unread rest would reset
-// the connection and the caller would see a broken connection in place of 413.
+// The caller exceeds the limit while it sends, and reads the response only after it has sent
+// everything. If the node closed the socket right after its 413, the unread bytes would reset the
+// connection, and the caller would see a broken connection instead of the 413.
 #[test]
 fn unstated_length_above_limit_is_refused() {
     let pair = common::Pair::start("");
@@ -93,7 +98,7 @@
     let answer = common::read_to_close(stream);
     assert!(answer.starts_with("HTTP/1.1 413 "), "{answer:?}");
     pair.await_count(counters::EdgeCause::CallerBodyOversized, 1);
-    pair.assert_lives();
+    pair.assert_serving();
 }
 
 #[test]
@@ -117,53 +122,60 @@
 #[test]
 fn callers_above_the_limit_are_closed_and_the_others_served() {
     let pair = common::Pair::start("  caller_connections: 2\n");
-    let held: Vec<_> = (0..2).map(|_| common::raw(pair.caller(), b"GET")).collect();
+    let open: Vec<_> = (0..2).map(|_| common::raw(pair.caller(), b"GET")).collect();
     pair.await_count(counters::EdgeCause::CallerAccepted, 2);
     let surplus = common::read_to_close(common::raw(pair.caller(), b""));
     assert_eq!(surplus, "");
     pair.await_count(counters::EdgeCause::CallerOverLimit, 1);
-    drop(held);
+    drop(open);
     let gauge = pair.node.counters().caller_connections();
-    common::await_true("the held connections end", || gauge.get() == 0);
-    pair.assert_lives();
+    common::await_true("the open connections end", || gauge.get() == 0);
+    pair.assert_serving();
 }
 
-// A caller serves its first request fast and stalls in the middle of its next head. It is told 408
-// and closed, like one that stalls at once.
+// A caller that stalls in the middle of a later head gets a 408 and is closed, like one that stalls
+// in its first head.
 #[test]
-fn a_later_head_may_not_stall_either() {
+fn a_stalled_later_head_is_refused() {
     let pair = common::Pair::start(LIMITS);
     let request = "GET / HTTP/1.1\r\nhost: audiencias\r\n\r\n";
     let mut stream = common::raw(pair.caller(), request.as_bytes());
-    common::await_true("the first is served", || pair.target.seen().len() == 1);
+    common::await_true("the first request is served", || {
+        pair.target.seen().len() == 1
+    });
     stream.write_all(b"GET / HTTP/1.1\r\nhost: audi").unwrap();
     let answer = common::read_to_close(stream);
     assert!(answer.contains("HTTP/1.1 408 "), "{answer}");
     pair.await_count(counters::EdgeCause::CallerHeadSlow, 1);
 }
 
-// The next head begins while the first request is still served, and stalls. The node reads these
-// bytes early, to see the connection's end; they count as a begun head once the reply is out.
+// The next head begins while the first request is still being served, and stalls. The node has read
+// these bytes early, to notice the end of the connection; the head timeout must still apply once
+// the first request is answered.
 #[test]
-fn a_head_that_begins_early_may_not_stall_either() {
+fn a_stalled_pipelined_head_is_refused() {
     let pair = common::Pair::start(LIMITS);
     let request = "GET /slow/100 HTTP/1.1\r\nhost: audiencias\r\n\r\n";
     let mut stream = common::raw(pair.caller(), request.as_bytes());
-    common::await_true("the first is served", || pair.target.seen().len() == 1);
+    common::await_true("the first request is served", || {
+        pair.target.seen().len() == 1
+    });
     stream.write_all(b"GET / HTTP/1.1\r\nhost: audi").unwrap();
     let answer = common::read_to_close(stream);
     assert!(answer.contains("HTTP/1.1 200 OK"), "{answer}");
     assert!(answer.contains("HTTP/1.1 408 "), "{answer}");
 }
 
-// A connection rests between two requests for several times the wait for a head. It stays open:
-// closed, each request of a caller that asks seldom would cost a new connection.
+// A connection is idle between two requests for several times the head timeout. If it were closed,
+// each request of a caller that sends few requests would need a new connection.
 #[test]
-fn a_resting_connection_stays_open() {
+fn an_idle_connection_stays_open() {
     let pair = common::Pair::start("  header_wait_ms: 20\n");
     let request = "GET / HTTP/1.1\r\nhost: audiencias\r\n\r\n";
     let mut stream = common::raw(pair.caller(), request.as_bytes());
-    common::await_true("the first is served", || pair.target.seen().len() == 1);
+    common::await_true("the first request is served", || {
+        pair.target.seen().len() == 1
+    });
     std::thread::sleep(std::time::Duration::from_millis(200));
     let last = "GET / HTTP/1.1\r\nhost: audiencias\r\nconnection: close\r\n\r\n";
     stream.write_all(last.as_bytes()).unwrap();
@@ -177,11 +189,11 @@
     );
 }
 
-// A connection that rests for longer than allowed is closed without a word: the caller, who asks
-// for nothing at the time, must not read 408 as the answer to its next request. The wait is long
-// enough that a busy machine gets the first request in before it ends.
+// A connection that exceeds the idle timeout is closed without a 408, which the caller could read
+// as the response to its next request. The timeout is long enough for the first request to arrive
+// on a busy machine.
 #[test]
-fn a_connection_that_rests_too_long_is_closed_quietly() {
+fn an_expired_idle_connection_is_closed_without_a_response() {
     let pair = common::Pair::start("  idle_wait_ms: 1500\n");
     let request = "GET / HTTP/1.1\r\nhost: audiencias\r\n\r\n";
     let answer = common::read_to_close(common::raw(pair.caller(), request.as_bytes()));
--- a/crates/anvil_node/tests/broken_connections.rs
+++ b/crates/anvil_node/tests/broken_connections.rs
@@ -1,8 +1,8 @@
-//! Connections between two real nodes that are reset or fall silent, with bids out on them.
+//! Connections between two real nodes that are reset or go silent while bids are in flight.
 //!
-//! A connection falls silent without a sign, or is reset, and both processes live on: the network forgot
-//! it, a proxy between them restarted. The caller waits at one node for a target at the other. A node
-//! that takes the end of a connection for the end of a process gives up bids that are being filed.
+//! Both processes keep running: the network dropped the state of the connection, or a proxy between
+//! them restarted. The caller waits at one node for a target at the other. A node that mistakes the
+//! end of a connection for the end of a process would abandon bids that are being processed.
 
 #![allow(clippy::unwrap_used)]
 
@@ -21,18 +21,19 @@
 const PEER: u16 = 8_082;
 const GOSSIP: u16 = 8_083;
 
-/// Places on the ground: each node has a hidden side that the proxy in front of it leads to.
+/// Indexes of loopback addresses. The peer port of each node is bound at its index plus `HIDDEN`,
+/// and the proxy in front of it at the index itself.
 const ENTRY: u8 = 0;
 const SERVING: u8 = 1;
 const HIDDEN: u8 = 100;
 
-/// A node whose port for other nodes lies behind a proxy.
+/// A node whose peer port is behind a proxy.
 struct ProxiedNode {
     node: node::RunningNode,
     link: proxy::HarmProxy,
 }
 
-/// Two nodes, a target beside the second, and everything between them in the hands of the test.
+/// Two nodes and a target of the second; the test controls the connections between the nodes.
 struct ProxiedPair {
     entry: ProxiedNode,
     serving: ProxiedNode,
@@ -44,18 +45,18 @@
 fn start(
     ground: &ground::LoopbackGround,
     runtime: &tokio::runtime::Handle,
-    place: u8,
+    index: u8,
     seed: SocketAddr,
 ) -> ProxiedNode {
-    let hidden = ground.port(HIDDEN + place, PEER);
-    let link = proxy::HarmProxy::start(runtime, ground.port(place, PEER), hidden).unwrap();
+    let hidden = ground.port(HIDDEN + index, PEER);
+    let link = proxy::HarmProxy::start(runtime, ground.port(index, PEER), hidden).unwrap();
     let yaml = format!(
         "zone: ar-centro-a\nregion: ar-centro\nadvertise: {}\nlisten: {{caller: '{}', admin: '{}', \
          peer: '{hidden}', gossip: '{}'}}\npeer_keys: [{{id: 1, secret: {}}}]\nseeds: ['{seed}']\n",
-        ground.address(place),
-        ground.port(place, CALLER),
-        ground.port(place, ADMIN),
-        ground.port(place, GOSSIP),
+        ground.address(index),
+        ground.port(index, CALLER),
+        ground.port(index, ADMIN),
+        ground.port(index, GOSSIP),
         common::SECRET,
     );
     let settings = settings::parse(&yaml, Path::new("proxied.yaml")).unwrap();
@@ -92,54 +93,54 @@
             _runtime: runtime,
             _ground: ground,
         };
-        common::await_true("the entry node hears of the target", || {
-            pair.ask("/joined").send().unwrap().status() == 200
+        common::await_true("the entry node learns of the target", || {
+            pair.request("/joined").send().unwrap().status() == 200
         });
         pair
     }
 
-    fn ask(&self, path: &str) -> attohttpc::RequestBuilder {
+    fn request(&self, path: &str) -> attohttpc::RequestBuilder {
         common::request(self.entry.node.bound().caller, "POST", path)
     }
 
-    fn runs_of(&self, path: &str) -> usize {
+    fn run_count(&self, path: &str) -> usize {
         let seen = self.target.seen();
         seen.iter().filter(|seen| seen.head.uri == path).count()
     }
 
-    /// Does `harm` to all connections between the two nodes; new ones work.
+    /// Applies `harm` to all connections between the two nodes; new ones work.
     fn harm(&self, harm: proxy::LinkHarm) {
         self.entry.link.set(harm);
         self.serving.link.set(harm);
     }
 }
 
-/// When the connection breaks, by what the target has done.
+/// When the connection breaks.
 #[derive(Clone, Copy, Debug)]
 enum BreakMoment {
-    /// It is at work.
+    /// While the target runs the bid.
     Running,
-    /// Nothing was sent since the connection broke.
+    /// Before the bid is sent.
     Idle,
 }
 
-// A bid is out, or comes, on a connection that breaks. The caller gets the answer of the one run, also
-// where its node was asked to stop before: planned work cuts nothing.
+// A bid is sent on a connection that breaks before or after. It must run once and its caller must
+// get the answer, even if the caller's node was asked to stop before: a planned stop fails no call.
 fn check_break(harm: proxy::LinkHarm, moment: BreakMoment, stopping: bool) {
     const BID: &str = "/slow/1200";
     let pair = ProxiedPair::start();
     if matches!(moment, BreakMoment::Idle) {
         pair.harm(harm);
     }
-    let request = pair.ask(BID).text("a bid");
-    let asking = thread::spawn(move || {
+    let request = pair.request(BID).text("a bid");
+    let caller = thread::spawn(move || {
         let response = request.send().unwrap();
         (response.status().as_u16(), response.text().unwrap())
     });
     if matches!(moment, BreakMoment::Running) {
-        common::await_true("it runs", || pair.runs_of(BID) == 1);
+        common::await_true("it runs", || pair.run_count(BID) == 1);
     } else {
-        // It is out on the broken connection, where nobody reads it, before the node stops.
+        // The bid is sent on the broken connection, where it is lost, before the node stops.
         thread::sleep(Duration::from_millis(100));
     }
     if stopping {
@@ -148,8 +149,8 @@
     if matches!(moment, BreakMoment::Running) {
         pair.harm(harm);
     }
-    assert_eq!(asking.join().unwrap(), (200, "a bid".to_owned()));
-    assert_eq!(pair.runs_of(BID), 1);
+    assert_eq!(caller.join().unwrap(), (200, "a bid".to_owned()));
+    assert_eq!(pair.run_count(BID), 1);
     assert_eq!(pair.target.abandoned(), 0);
     pair.serving.node.stop();
 }
--- a/crates/anvil_node/tests/common/impostor.rs
+++ b/crates/anvil_node/tests/common/fake_peer.rs
@@ -1,4 +1,4 @@
-//! A node as played by a test: it holds the key and says what the test wants.
+//! A fake node under the control of a test: it has the shared key and sends what the test wants.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
@@ -9,21 +9,21 @@
 use anvil_wire::{call, codec, compression, frame, gossip, outcome};
 use bytes::Bytes;
 
-/// Its identity.
+/// The identity of the fake node.
 pub const NODE: ident::NodeId = ident::NodeId(0xfeed);
 
-/// One connection of the played node.
-pub struct Impostor {
+/// One connection of the fake node.
+pub struct FakePeer {
     pub socket: TcpStream,
     sealed: stream::SealedStream,
-    unpacker: compression::FrameDecompressor,
+    decompressor: compression::FrameDecompressor,
 }
 
-/// The key of the tests, or another one where `twist` is not zero.
+/// The key of the tests, or another one if `twist` is not zero.
 pub fn key_ring(twist: u8) -> ring::KeyRing {
     let mut bytes = [0; 32];
-    for (place, byte) in bytes.iter_mut().enumerate() {
-        let digits = &super::SECRET[2 * place..2 * place + 2];
+    for (index, byte) in bytes.iter_mut().enumerate() {
+        let digits = &super::SECRET[2 * index..2 * index + 2];
         *byte = u8::from_str_radix(digits, 16).unwrap() ^ twist;
     }
     ring::KeyRing::new(vec![ring::SealKey::new(ring::KeyId(1), &bytes).unwrap()]).unwrap()
@@ -46,8 +46,8 @@
     Ok(message)
 }
 
-/// Tells the node at `gossip` that the played node offers the tests' service at `address`.
-pub fn introduce(gossip: SocketAddr, address: SocketAddr) {
+/// Announces to the node at `gossip` that the fake node offers the tests' service at `address`.
+pub fn announce_peer(gossip: SocketAddr, address: SocketAddr) {
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     let facts = gossip::MemberFacts {
         tcp: address,
@@ -74,7 +74,7 @@
     socket.send_to(&sealed, gossip).unwrap();
 }
 
-/// The head of a node that serves.
+/// The datagram head of a ready node.
 fn head() -> gossip::GossipHead {
     gossip::GossipHead {
         from: NODE,
@@ -84,41 +84,41 @@
     }
 }
 
-impl Impostor {
+impl FakePeer {
     /// Opens a connection to the node at `address`.
     pub fn connect(address: SocketAddr) -> Self {
         let mut socket = super::raw(address, b"");
         let nonce = handshake::HandshakeNonce([7; handshake::NONCE_BYTES]);
         let own = hello(frame::PROTOCOL_VERSION, "127.0.0.1:9".parse().unwrap());
         let begun = handshake::InitiatorHandshake::begin(&key_ring(0), own, nonce);
-        let (shaking, first) = begun.unwrap();
+        let (initiator, first) = begun.unwrap();
         socket.write_all(&first).unwrap();
         let challenge = read_message(&mut socket).unwrap();
-        let (sealed, proof) = shaking.finish(&challenge, None).unwrap();
+        let (sealed, proof) = initiator.finish(&challenge, None).unwrap();
         socket.write_all(&proof).unwrap();
         Self {
             socket,
             sealed,
-            unpacker: compression::FrameDecompressor::default(),
+            decompressor: compression::FrameDecompressor::default(),
         }
     }
 
-    /// Takes the connection that a node opens.
+    /// Accepts the connection that a node opens.
     pub fn accept(listener: &TcpListener) -> Self {
         let (mut socket, _) = listener.accept().unwrap();
-        socket.set_read_timeout(Some(super::PATIENCE)).unwrap();
+        socket.set_read_timeout(Some(super::TEST_TIMEOUT)).unwrap();
         let nonce = handshake::HandshakeNonce([9; handshake::NONCE_BYTES]);
         let own = hello(frame::PROTOCOL_VERSION, listener.local_addr().unwrap());
         let first = read_message(&mut socket).unwrap();
         let begun = handshake::ResponderHandshake::begin(&key_ring(0), &own, nonce, &first);
-        let (shaking, challenge) = begun.unwrap();
+        let (responder, challenge) = begun.unwrap();
         socket.write_all(&challenge).unwrap();
         let proof = read_message(&mut socket).unwrap();
-        let sealed = shaking.finish(&proof).unwrap();
+        let sealed = responder.finish(&proof).unwrap();
         Self {
             socket,
             sealed,
-            unpacker: compression::FrameDecompressor::default(),
+            decompressor: compression::FrameDecompressor::default(),
         }
     }
 
@@ -128,7 +128,7 @@
         self.socket.write_all(&bytes).unwrap();
     }
 
-    /// Sends bytes under a true seal, so that they reach the decoder.
+    /// Sends bytes with a valid seal, so that they reach the decoder.
     pub fn send_sealed(&mut self, body: &[u8]) {
         let length = u32::try_from(body.len()).unwrap();
         let mut bytes = length.to_be_bytes().to_vec();
@@ -144,12 +144,12 @@
         let mut bytes = vec![0; stream::FrameOpener::sealed_length(length)];
         self.socket.read_exact(&mut bytes).unwrap();
         let opened = self.sealed.opener.open(&bytes).unwrap();
-        let plain = self.unpacker.decompress(opened).unwrap();
+        let plain = self.decompressor.decompress(opened).unwrap();
         codec::decode_frame(&plain).unwrap()
     }
 
-    /// Tells a fresh node that it knows all members, once it asks.
-    pub fn tell_members(&mut self) {
+    /// Answers the member comparison of a new node, so that it becomes ready.
+    pub fn send_members(&mut self) {
         loop {
             if let frame::PeerFrame::Sync(message) = self.receive()
                 && let gossip::SyncMessage::Digest { .. } = *message
@@ -166,7 +166,7 @@
         self.send(&frame::PeerFrame::Sync(Box::new(members)));
     }
 
-    /// The next answer; frames of membership are skipped.
+    /// The next answer; membership frames are skipped.
     pub fn receive_answer(&mut self) -> call::PeerAnswer {
         loop {
             if let frame::PeerFrame::Answer(answer) = self.receive() {
@@ -175,7 +175,7 @@
         }
     }
 
-    /// The next call; frames of membership are skipped.
+    /// The next call; membership frames are skipped.
     pub fn receive_call(&mut self) -> call::PeerCall {
         loop {
             if let frame::PeerFrame::Call(call) = self.receive() {
@@ -202,8 +202,8 @@
         self.send(&frame::PeerFrame::Answer(Box::new(answer)));
     }
 
-    /// The attempts whose fate the node asks for; frames before the question are skipped.
-    pub fn receive_asked(&mut self) -> Vec<outcome::QueriedAttempt> {
+    /// The attempts of the next outcome query; other frames are skipped.
+    pub fn receive_query(&mut self) -> Vec<outcome::QueriedAttempt> {
         loop {
             if let frame::PeerFrame::Outcome(message) = self.receive()
                 && let outcome::OutcomeMessage::Query { attempts, .. } = *message
@@ -215,7 +215,7 @@
 
     pub fn assert_closed(mut self) {
         let mut rest = Vec::new();
-        // A reset is as good as a close.
+        // A reset counts as a close.
         let _ = self.socket.read_to_end(&mut rest);
     }
 }
--- a/crates/anvil_node/tests/common/mod.rs
+++ b/crates/anvil_node/tests/common/mod.rs
@@ -1,8 +1,8 @@
-//! Nodes in this process, on free ports of the loopback address.
+//! Helpers to run nodes in the test process, on free ports of the loopback address.
 
 #![allow(clippy::unwrap_used, dead_code, missing_docs, unreachable_pub)]
 
-pub mod impostor;
+pub mod fake_peer;
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -16,13 +16,13 @@
 /// The service that the stand-in target offers.
 pub const SERVICE: &str = "audiencias";
 
-/// Longest wait for anything in these tests; nothing comes near it unless it is broken.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// Longest wait in these tests; far longer than any step takes unless it fails.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A key for tests.
+/// The shared key of the tests.
 pub const SECRET: &str = "5ec2e75ec2e75ec2e75ec2e75ec2e75ec2e75ec2e75ec2e75ec2e75ec2e70000";
 
-/// Settings with free ports, as YAML; `limits` is YAML indented by two blanks.
+/// Settings with free ports, as YAML; `limits` is YAML indented by two spaces.
 pub fn yaml(limits: &str) -> String {
     format!(
         "zone: ar-centro-a\nregion: ar-centro\nadvertise: 127.0.0.1\nlisten:\n  \
@@ -32,12 +32,12 @@
     )
 }
 
-/// The same, checked.
+/// The parsed settings of [`yaml`].
 pub fn settings(limits: &str) -> settings::NodeSettings {
     settings::parse(&yaml(limits), Path::new("test.yaml")).unwrap()
 }
 
-/// One node with a target beside it.
+/// One node and its target.
 pub struct Pair {
     pub node: node::RunningNode,
     pub target: http_target::StandInTarget,
@@ -61,8 +61,8 @@
         request(self.caller(), method, path)
     }
 
-    /// Whether the node still serves.
-    pub fn assert_lives(&self) {
+    /// Asserts that the node still serves requests.
+    pub fn assert_serving(&self) {
         let response = self.request("GET", "/alive").send().unwrap();
         assert_eq!(response.status(), 200);
     }
@@ -74,23 +74,23 @@
         });
     }
 
-    /// Stops the node and waits for its end.
+    /// Stops the node and waits until it has ended.
     pub fn stop(self) {
         self.node.stop();
         self.node.wait().unwrap();
     }
 }
 
-/// A request to `SERVICE` by way of the node at `caller`.
+/// A request to `SERVICE` through the node at `caller`.
 pub fn request(caller: SocketAddr, method: &str, path: &str) -> attohttpc::RequestBuilder {
     let method = attohttpc::Method::from_bytes(method.as_bytes()).unwrap();
     let url = format!("http://{caller}{path}");
     attohttpc::RequestBuilder::new(method, url)
         .header("anvil-service", SERVICE)
-        .timeout(PATIENCE)
+        .timeout(TEST_TIMEOUT)
 }
 
-/// Announces a target, as it would itself.
+/// Announces a target, as the target itself would.
 pub fn announce(admin: SocketAddr, target: SocketAddr, service: &str) {
     let body = format!(
         "{{\"service\":\"{service}\",\"address\":\"{target}\",\"slots\":40,\
@@ -101,33 +101,30 @@
     assert_eq!(response.status(), 204);
 }
 
-/// Waits until `done`; fails with `what` where it never comes.
+/// Waits until `done` returns true; panics with `what` after [`TEST_TIMEOUT`].
 pub fn await_true<Done>(what: &str, done: Done)
 where
     Done: Fn() -> bool,
 {
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TEST_TIMEOUT;
     while !done() {
-        assert!(
-            Instant::now() < until,
-            "not within the test's patience: {what}"
-        );
+        assert!(Instant::now() < until, "timed out: {what}");
         thread::sleep(Duration::from_millis(2));
     }
 }
 
-/// A connection that speaks bytes, for what no HTTP library would send.
+/// Opens a connection and sends raw bytes, for input that no HTTP library would send.
 pub fn raw(address: SocketAddr, bytes: &[u8]) -> TcpStream {
     let mut stream = TcpStream::connect(address).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     stream.write_all(bytes).unwrap();
     stream
 }
 
-/// Everything until the other side closes.
+/// Reads until the other side closes the connection.
 pub fn read_to_close(mut stream: TcpStream) -> String {
     let mut bytes = Vec::new();
-    // A reset after the answer is as good as a close.
+    // A reset after the answer counts as a close.
     let _ = stream.read_to_end(&mut bytes);
     String::from_utf8_lossy(&bytes).into_owned()
 }
--- a/crates/anvil_node/tests/datagram_edge.rs
+++ b/crates/anvil_node/tests/datagram_edge.rs
@@ -1,4 +1,4 @@
-//! What of a datagram reaches the reducer.
+//! Which datagrams are accepted.
 
 #![allow(clippy::unwrap_used)]
 
@@ -35,21 +35,21 @@
     }
 }
 
-// A key holder sends a datagram whose head names another node. That node would be believed to hold
-// revision 7 without having said so; the datagram must not reach the reducer.
-fn check(named: ident::NodeId, extra: &[u8], taken: bool) {
-    let mut payload = postcard::to_stdvec(&message(named)).unwrap();
+// A key holder sends a datagram whose head names another node. If it were accepted, that node would
+// be assumed to hold revision 7 although it never announced that.
+fn check(head_sender: ident::NodeId, extra: &[u8], accepted: bool) {
+    let mut payload = postcard::to_stdvec(&message(head_sender)).unwrap();
     payload.extend_from_slice(extra);
     let mut sealer = sealing::DatagramSealer::new(keys(), SENDER);
     let bytes = sealer.seal(receiver(), &payload).unwrap();
     let mut opener = sealing::DatagramOpener::new(keys(), receiver());
     let read = datagram::read(&mut opener, &bytes);
-    assert_eq!(read.is_some(), taken);
+    assert_eq!(read.is_some(), accepted);
 }
 
 test_cases! {
     check:
-    sender_that_names_itself_is_read => (SENDER, b"", true),
-    sender_that_names_another_is_refused => (ident::NodeId(12), b"", false),
-    bytes_behind_the_message_are_refused => (SENDER, b"x", false),
+    matching_sender_is_accepted => (SENDER, b"", true),
+    mismatched_sender_is_refused => (ident::NodeId(12), b"", false),
+    trailing_bytes_are_refused => (SENDER, b"x", false),
 }
--- a/crates/anvil_node/tests/fleet_process.rs
+++ b/crates/anvil_node/tests/fleet_process.rs
@@ -1,4 +1,4 @@
-//! Real node processes that vanish or leave, as the others see it.
+//! Membership of real node processes that crash or stop.
 
 #![allow(clippy::unwrap_used)]
 
@@ -34,27 +34,26 @@
     dump["status"]["fleet"]["members"].as_u64().unwrap()
 }
 
-// A caller's work goes to targets that live. One node leaves by a planned stop and tells so; one
-// is killed without a word and stands accused by the others until its time is over. The ones that
-// stay agree on both, and on the reasons.
+// One node stops as planned and announces that; another is killed and stays suspected until its
+// timeout. The remaining nodes must remove both, each with the right reason.
 #[test]
-fn a_node_that_leaves_and_one_that_is_killed_are_told_apart() {
+fn planned_stops_and_crashes_are_distinguished() {
     let first = start("first", None);
     let seed = Some(first.addresses().gossip);
     let second = start("second", seed);
     let leaving = start("leaving", seed);
     let mut killed = start("killed", seed);
-    common::await_true("all four know each other", || {
+    common::await_true("all four nodes have joined", || {
         [&first, &second, &leaving, &killed]
             .iter()
             .all(|node| members(node) == 4)
     });
     leaving.terminate().unwrap();
-    common::await_true("the planned stop is known", || {
+    common::await_true("the planned stop is detected", || {
         members(&first) == 3 && members(&second) == 3
     });
     killed.kill();
-    common::await_true("the crash is known", || {
+    common::await_true("the crash is detected", || {
         members(&first) == 2 && members(&second) == 2
     });
     for node in [&first, &second] {
--- a/crates/anvil_node/tests/fleet_store.rs
+++ b/crates/anvil_node/tests/fleet_store.rs
@@ -1,4 +1,4 @@
-//! Nodes that know nothing but the platform's store.
+//! Nodes that find each other through the platform's store only.
 
 #![allow(clippy::unwrap_used)]
 
@@ -30,24 +30,24 @@
         .header("anvil-change", change)
         .header("anvil-author", "ana")
         .header("anvil-base", "0")
-        .timeout(common::PATIENCE);
+        .timeout(common::TEST_TIMEOUT);
     let response = request.text(RULES).send().unwrap();
     response.status().as_u16()
 }
 
 #[test]
-fn a_change_through_one_node_is_in_force_at_the_other() {
-    // An operator applies rules at one node; a caller of the other is soon treated by them.
-    // The nodes meet through contact entries, the change goes into the log, the second node
-    // pulls it; the write's answer is lost, and the operator is told the truth all the same.
+fn a_change_at_one_node_takes_effect_at_the_other() {
+    // The nodes join through contact entries. A change applied at one is written to the log, and
+    // the other node pulls it. The response to the write is lost, but the operator must still get
+    // the right answer.
     let store = server::StoreServer::start(3).unwrap();
     let nodes = [start(store.address()), start(store.address())];
-    common::await_true("the nodes meet and compare their rules", || {
-        let whole = |n| {
+    common::await_true("the nodes join and compare their rules", || {
+        let joined = |n| {
             let status = get(n, "/status");
             status["fleet"]["members"] == 2 && status["fleet"]["rules_compared"] == true
         };
-        nodes.iter().all(whole)
+        nodes.iter().all(joined)
     });
     store.set_faults(fake::StoreFaults {
         lost_answers: 30,
@@ -58,8 +58,8 @@
     common::await_true("the change arrives", || {
         get(&nodes[1], "/status")["rules"]["revision"] == 1
     });
-    assert_eq!(apply(&nodes[1], "abc1"), 200, "asked again under its id");
-    assert_eq!(apply(&nodes[1], "abc2"), 409, "made from an old revision");
+    assert_eq!(apply(&nodes[1], "abc1"), 200, "repeated with the same id");
+    assert_eq!(apply(&nodes[1], "abc2"), 409, "based on an old revision");
     let logged = store.entries();
     let logged = logged
         .iter()
--- a/crates/anvil_node/tests/frame_stream.rs
+++ b/crates/anvil_node/tests/frame_stream.rs
@@ -1,4 +1,4 @@
-//! Frames come out of a byte stream the same, however the network cuts it.
+//! Frames are read from a byte stream independently of how the network fragments it.
 
 #![allow(clippy::unwrap_used)]
 
@@ -9,15 +9,15 @@
 use anvil_types::ident;
 use anvil_wire::seal::{handshake, stream};
 use anvil_wire::{codec, frame};
-use common::impostor;
+use common::fake_peer;
 use tokio::io::AsyncWriteExt;
 use tokio::runtime;
 
-/// Both ends of a connection after their handshake, without a socket.
+/// Both ends of a connection after the handshake, without a socket.
 fn ends() -> (stream::SealedStream, stream::SealedStream) {
-    let ring = impostor::key_ring(0);
+    let ring = fake_peer::key_ring(0);
     let address = "127.0.0.1:9".parse().unwrap();
-    let own = impostor::hello(frame::PROTOCOL_VERSION, address);
+    let own = fake_peer::hello(frame::PROTOCOL_VERSION, address);
     let mut other = own.clone();
     other.node = ident::NodeId(1);
     let nonce = handshake::HandshakeNonce([1; handshake::NONCE_BYTES]);
@@ -53,7 +53,7 @@
     bytes
 }
 
-/// Reads what arrives in pieces of `size` bytes, to the end.
+/// Reads frames from `bytes`, which arrive in pieces of `size` bytes, to the end.
 fn read_pieces(bytes: Vec<u8>, size: usize) -> (Vec<frame::PeerFrame>, StreamError) {
     let (_, far) = ends();
     let runtime = runtime::Builder::new_current_thread().build().unwrap();
@@ -77,7 +77,7 @@
     })
 }
 
-fn pieces_make_no_difference(size: usize) {
+fn fragmented_frames_are_reassembled(size: usize) {
     let (mut near, _) = ends();
     let (read, error) = read_pieces(sealed_bytes(&mut near.sealer), size);
     assert_eq!(read, frames());
@@ -85,7 +85,7 @@
 }
 
 test_cases! {
-    pieces_make_no_difference:
+    fragmented_frames_are_reassembled:
     single_bytes => (1),
     three_bytes => (3),
     a_length_at_a_time => (4),
@@ -93,26 +93,26 @@
     all_at_once => (65_536),
 }
 
-// The network ends at every possible place: whole frames in front of it are delivered, and the end
-// counts as truncated unless it falls between two frames.
+// The connection ends at every possible position. Complete frames before it are delivered, and the
+// end is reported as truncation unless it is between two frames.
 #[test]
-fn every_cut_is_told_from_an_end() {
+fn truncation_is_distinguished_from_a_clean_end() {
     let (mut near, _) = ends();
     let bytes = sealed_bytes(&mut near.sealer);
-    let mut borders = vec![0];
+    let mut boundaries = vec![0];
     let (mut again, _) = ends();
     let mut length = 0;
     for frame in frames() {
         let mut encoded = codec::encode_frame(&frame).unwrap();
         again.sealer.seal(&mut encoded);
         length += encoded.len();
-        borders.push(length);
+        boundaries.push(length);
     }
     for cut in 0..=bytes.len() {
         let (read, error) = read_pieces(bytes[..cut].to_vec(), 65_536);
-        let whole = borders.iter().filter(|end| **end <= cut).count() - 1;
-        assert_eq!(read.len(), whole, "cut at {cut}");
+        let complete = boundaries.iter().filter(|end| **end <= cut).count() - 1;
+        assert_eq!(read.len(), complete, "cut at {cut}");
         let ended = matches!(error, StreamError::Ended);
-        assert_eq!(ended, borders.contains(&cut), "cut at {cut}: {error}");
+        assert_eq!(ended, boundaries.contains(&cut), "cut at {cut}: {error}");
     }
 }
--- a/crates/anvil_node/tests/key_rotation.rs
+++ b/crates/anvil_node/tests/key_rotation.rs
@@ -1,4 +1,4 @@
-//! Shared keys change while nodes run: requests go on in every round of a rotation.
+//! Rotation of the shared keys while nodes run: requests succeed in every round.
 
 #![allow(clippy::unwrap_used)]
 
@@ -10,7 +10,7 @@
 use anvil_standins::http_target;
 use anvil_testkit::test_cases;
 
-/// A node with these keys, the first of which it sends with.
+/// Starts a node with these keys; it seals with the first one.
 fn start(keys: &[u16], extra: &str) -> node::RunningNode {
     let entries = keys.iter().map(|id| {
         let secret = format!("{id:02x}").repeat(32);
@@ -23,19 +23,19 @@
     node::start(&settings).unwrap()
 }
 
-// In each round of a rotation some nodes have the new settings and some the old ones. The caller
-// sees no difference: membership and calls cross between them, whichever key each sends with.
-fn crosses(target_keys: &[u16], entry_keys: &[u16]) {
-    let beside = start(target_keys, "");
+// In each round of a rotation some nodes have the new settings and some the old ones. Membership
+// and calls between them must work, whichever key each node seals with.
+fn requests_succeed_during_a_rotation(target_keys: &[u16], entry_keys: &[u16]) {
+    let serving = start(target_keys, "");
     let target = http_target::StandInTarget::start().unwrap();
-    common::announce(beside.bound().admin, target.address(), common::SERVICE);
-    let seeds = format!("seeds: ['{}']\n", beside.bound().gossip);
+    common::announce(serving.bound().admin, target.address(), common::SERVICE);
+    let seeds = format!("seeds: ['{}']\n", serving.bound().gossip);
     let entry = start(entry_keys, &seeds);
-    common::await_true("a request crosses", || {
+    common::await_true("a request reaches the other node", || {
         let request = common::request(entry.bound().caller, "GET", "/alive");
         request.send().unwrap().status() == 200
     });
-    for node in [&beside, &entry] {
+    for node in [&serving, &entry] {
         for cause in [
             counters::EdgeCause::DatagramRefused,
             counters::EdgeCause::PeerHandshakeRefused,
@@ -45,7 +45,7 @@
     }
 }
 
-test_cases! { crosses:
+test_cases! { requests_succeed_during_a_rotation:
     the_target_got_the_new_key_first => (&[1, 2], &[1]),
     the_entry_got_the_new_key_first => (&[1], &[1, 2]),
     the_target_sends_with_the_new_key => (&[2, 1], &[1, 2]),
@@ -54,20 +54,20 @@
     the_entry_dropped_the_old_key => (&[2, 1], &[2]),
 }
 
-// A node that missed a whole rotation holds no key that the others accept. It must not join, and
-// the others count its attempts.
+// A node that missed a whole rotation has no key that the others accept. It must not be able to
+// join, and the others count its attempts.
 #[test]
-fn a_node_with_only_the_old_key_stays_outside() {
-    let beside = start(&[2], "");
-    let seeds = format!("seeds: ['{}']\n", beside.bound().gossip);
+fn a_node_with_only_the_old_key_cannot_join() {
+    let serving = start(&[2], "");
+    let seeds = format!("seeds: ['{}']\n", serving.bound().gossip);
     let outside = start(&[1], &seeds);
     common::await_true("its datagrams are refused", || {
-        beside
+        serving
             .counters()
             .total(counters::EdgeCause::DatagramRefused)
             >= 1
     });
-    let url = format!("http://{}/status", beside.bound().admin);
+    let url = format!("http://{}/status", serving.bound().admin);
     let status = attohttpc::get(url).send().unwrap().text().unwrap();
     let status: serde_json::Value = serde_json::from_str(&status).unwrap();
     assert_eq!(status["fleet"]["members"], 1, "{status}");
--- a/crates/anvil_node/tests/keyed_claims.rs
+++ b/crates/anvil_node/tests/keyed_claims.rs
@@ -1,4 +1,4 @@
-//! Claims with an idempotency key through real nodes, sockets and the platform's store.
+//! Claims with idempotency keys, through real nodes and sockets and a stand-in of the store.
 
 #![allow(clippy::unwrap_used)]
 
@@ -13,7 +13,7 @@
 use anvil_standins::http_target;
 use anvil_standins::store::{fake, server};
 
-/// The status that goes with `in-progress`.
+/// The status for `in-progress`.
 const IN_PROGRESS: u16 = 409;
 
 fn start(store: SocketAddr) -> node::RunningNode {
@@ -29,7 +29,7 @@
     status["fleet"]["members"].clone()
 }
 
-/// Submits a claim; one that hears of its first copy in progress comes back as it is told.
+/// Submits a claim, and retries while an earlier copy of it is in progress.
 fn submit(node: &node::RunningNode, key: &str) -> u16 {
     loop {
         let caller = node.bound().caller;
@@ -42,19 +42,19 @@
     }
 }
 
-// A citizen's client sends each claim to one node and again to the other, as after a lost answer.
-// Each claim is filed once, and both copies get its answer. It goes on so while the store is out,
-// because the owners of the keys need it only for changes of owners.
+// A client sends each claim to one node and again to the other, as after a lost response. Each
+// claim must run once, and both copies must get its answer. The same holds while the store is down,
+// since the owners of the keys need it only to change owners.
 #[test]
-fn claim_resent_to_the_other_node_is_filed_once() {
+fn claim_resent_to_the_other_node_runs_once() {
     let store = server::StoreServer::start(3).unwrap();
     let nodes = [start(store.address()), start(store.address())];
     let target = http_target::StandInTarget::start().unwrap();
     common::announce(nodes[0].bound().admin, target.address(), common::SERVICE);
-    common::await_true("the nodes meet", || {
+    common::await_true("the nodes join", || {
         nodes.iter().all(|node| members(node) == 2)
     });
-    common::await_true("the other node hears of the target", || {
+    common::await_true("the other node learns of the target", || {
         submit(&nodes[1], "first") == 200
     });
     for claim in 0..20 {
--- a/crates/anvil_node/tests/parent_token.rs
+++ b/crates/anvil_node/tests/parent_token.rs
@@ -1,4 +1,4 @@
-//! Parent tokens: a mint knows its own and no others.
+//! Parent tokens: an issuer accepts its own tokens and no others.
 
 use anvil_core::event;
 use anvil_node::target::parent;
@@ -11,22 +11,22 @@
 }
 
 #[test]
-fn a_mint_knows_its_own() {
+fn issued_tokens_are_verified() {
     for run in [event::RunId(0), RUN, event::RunId(u64::MAX)] {
         let token = issuer().issue(run);
         assert_eq!(issuer().verify(&token), Some(event::ParentToken(run)));
     }
 }
 
-// Somebody who saw one token tries others near it, to act in the name of another request.
+// A caller that has seen one token must not be able to derive the token of another run.
 #[test]
-fn no_digit_can_be_changed() {
+fn altered_tokens_are_refused() {
     let token = issuer().issue(RUN);
-    for place in 0..token.len() {
+    for index in 0..token.len() {
         let mut bytes = token.clone().into_bytes();
-        bytes[place] = if bytes[place] == b'0' { b'1' } else { b'0' };
+        bytes[index] = if bytes[index] == b'0' { b'1' } else { b'0' };
         let changed = String::from_utf8_lossy(&bytes).into_owned();
-        assert_eq!(issuer().verify(&changed), None, "digit {place}");
+        assert_eq!(issuer().verify(&changed), None, "digit {index}");
     }
 }
 
@@ -40,8 +40,8 @@
     short => (&issuer().issue(RUN)[..47]),
     long => (&format!("{}0", issuer().issue(RUN))),
     zeros => (&"0".repeat(48)),
-    no_hex => (&"x".repeat(48)),
-    // 48 bytes, but the digits can't be split between characters.
-    no_ascii => (&format!("{}é{}", "0".repeat(15), "0".repeat(31))),
+    not_hex => (&"x".repeat(48)),
+    // 48 bytes, but the position of the split is inside a character.
+    not_ascii => (&format!("{}é{}", "0".repeat(15), "0".repeat(31))),
     of_another_process => (&parent::TokenIssuer::new([8; 32]).issue(RUN)),
 }
--- a/crates/anvil_node/tests/pass_through.rs
+++ b/crates/anvil_node/tests/pass_through.rs
@@ -1,4 +1,4 @@
-//! What a caller sends reaches the target unchanged, and the answer comes back unchanged.
+//! Requests reach the target unchanged, and answers reach the caller unchanged.
 
 #![allow(clippy::unwrap_used)]
 
@@ -61,13 +61,13 @@
     not_modified => (304),
     not_found => (404),
     target_fault => (500),
-    // Without the mark of a refusal, a 503 is the target's own answer.
+    // Without the header `anvil-not-run`, a 503 is an answer of the target.
     target_busy => (503),
 }
 
 fn size_passes(size: usize) {
     let pair = common::Pair::start("");
-    let body: Vec<u8> = (0..size).map(|place| (place % 251) as u8).collect();
+    let body: Vec<u8> = (0..size).map(|index| (index % 251) as u8).collect();
     let response = pair
         .request("POST", "/evidence")
         .bytes(&body)
@@ -118,14 +118,14 @@
     assert_eq!(
         pair.target.connections(),
         1,
-        "the target's connection is kept"
+        "the target's connection is reused"
     );
 }
 
 #[test]
-fn headers_pass_except_those_of_the_connection() {
+fn headers_pass_except_hop_by_hop_headers() {
     let pair = common::Pair::start("");
-    // Raw bytes, since the client library writes a Connection header of its own.
+    // Raw bytes, since the client library adds its own Connection header.
     let request = "GET / HTTP/1.1\r\nhost: audiencias\r\naccept-language: es-AR\r\n\
                    connection: X-Hop, close\r\nx-hop: this connection only\r\n\
                    keep-alive: timeout=5\r\nte: trailers\r\nanvil-not-run: 1\r\n\
@@ -147,8 +147,8 @@
     ] {
         assert_eq!(seen.header(hop), None, "{hop}");
     }
-    for told in ["anvil-timeout-ms", "anvil-request-id", "anvil-parent"] {
-        assert!(seen.header(told).is_some(), "{told}");
+    for name in ["anvil-timeout-ms", "anvil-request-id", "anvil-parent"] {
+        assert!(seen.header(name).is_some(), "{name}");
     }
 }
 
--- a/crates/anvil_node/tests/peer_table.rs
+++ b/crates/anvil_node/tests/peer_table.rs
@@ -1,4 +1,4 @@
-//! Which of several connections to another node frames are sent on.
+//! Which one of several connections to another node is used for sending.
 
 #![allow(clippy::unwrap_used)]
 
@@ -12,46 +12,46 @@
 use anvil_node::counters;
 use anvil_node::peer::{link, table};
 use anvil_wire::{frame, outcome};
-use common::impostor;
+use common::fake_peer;
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch};
 
-/// Longest wait for a connection that is to be opened on the same machine.
-const DIAL_WAIT: Duration = Duration::from_secs(5);
+/// Longest wait for a connection on the same machine.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Two connections to one node, which also accepts new ones.
 struct TwoLinks {
     table: table::PeerTable,
     listener: TcpListener,
-    /// The reading ends of the two, in the order in which they were opened.
+    /// The worker sides of the two, in the order in which they were opened.
     parts: [link::LinkParts; 2],
     ids: [link::LinkId; 2],
-    /// The pulse of the second.
-    spare: Arc<anvil_node::peer::liveness::LinkLiveness>,
-    _alive: watch::Sender<bool>,
+    /// The liveness of the second.
+    second_liveness: Arc<anvil_node::peer::liveness::LinkLiveness>,
+    _closing: watch::Sender<bool>,
 }
 
 impl TwoLinks {
     async fn open() -> Self {
-        let (closing, watched) = watch::channel(false);
+        let (closing, closing_receiver) = watch::channel(false);
         let context = link::LinkContext {
-            hello: impostor::hello(frame::PROTOCOL_VERSION, "127.0.0.1:9".parse().unwrap()),
-            ring: Arc::new(impostor::key_ring(0)),
+            hello: fake_peer::hello(frame::PROTOCOL_VERSION, "127.0.0.1:9".parse().unwrap()),
+            ring: Arc::new(fake_peer::key_ring(0)),
             engine: flume::unbounded().0,
             counters: counters::EdgeCounters::new().unwrap(),
             link_ids: Arc::default(),
             received_frames: Arc::default(),
             drain: server::DrainSignal {
-                closing: watched,
+                closing: closing_receiver,
                 flush_guard: mpsc::channel(1).0,
             },
         };
         let mut table = table::PeerTable::new(tokio::runtime::Handle::current(), context.clone());
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let ids = [context.next_link_id(), context.next_link_id()];
-        let (first, first_parts) = link::new_link(impostor::NODE, ids[0]);
-        let (second, second_parts) = link::new_link(impostor::NODE, ids[1]);
-        let spare = second.liveness.clone();
+        let (first, first_parts) = link::new_link(fake_peer::NODE, ids[0]);
+        let (second, second_parts) = link::new_link(fake_peer::NODE, ids[1]);
+        let second_liveness = second.liveness.clone();
         first.liveness.record_received(2);
         second.liveness.record_received(1);
         table.insert(first);
@@ -61,8 +61,8 @@
             listener,
             parts: [first_parts, second_parts],
             ids,
-            spare,
-            _alive: closing,
+            second_liveness,
+            _closing: closing,
         }
     }
 
@@ -70,10 +70,10 @@
         self.listener.local_addr().unwrap()
     }
 
-    /// The first connection ends with calls on it.
+    /// Ends the first connection while calls on it are unanswered.
     fn lose_first(&mut self, unresponsive: bool) {
         let events = self.table.on_closed(link::ClosedLink {
-            peer: impostor::NODE,
+            peer: fake_peer::NODE,
             link: self.ids[0],
             unsent: Vec::new(),
             used: true,
@@ -83,43 +83,44 @@
         assert_eq!(events.len(), 1, "{events:?}");
     }
 
-    /// Asks what became of the calls; tells whether a new connection is opened for it.
-    async fn asks_on_a_new_one(&mut self) -> bool {
+    /// Sends an outcome query; returns whether a new connection is opened for it.
+    async fn queries_on_a_new_connection(&mut self) -> bool {
         let message = outcome::OutcomeMessage::Query {
             reply_to: self.address(),
             attempts: Vec::new(),
         };
-        let ask = frame::PeerFrame::Outcome(Box::new(message));
+        let query = frame::PeerFrame::Outcome(Box::new(message));
         let address = self.address();
-        assert!(self.table.send(impostor::NODE, address, ask).is_none());
-        let on_spare = self.parts[1].queued_frames() > 0;
-        if !on_spare {
-            let dialled = tokio::time::timeout(DIAL_WAIT, self.listener.accept());
-            dialled.await.unwrap().unwrap();
+        assert!(self.table.send(fake_peer::NODE, address, query).is_none());
+        let on_second = self.parts[1].queued_frames() > 0;
+        if !on_second {
+            let accepted = tokio::time::timeout(CONNECT_TIMEOUT, self.listener.accept());
+            accepted.await.unwrap().unwrap();
         }
-        !on_spare
+        !on_second
     }
 }
 
-// Guards against fates that are asked for on a second connection which the network dropped too.
+// Guards against outcome queries that are sent on a second connection which the network has dropped
+// too.
 #[tokio::test]
-async fn a_question_behind_a_silent_connection_takes_a_new_one() {
+async fn a_query_after_an_unresponsive_connection_uses_a_new_one() {
     let mut links = TwoLinks::open().await;
     links.lose_first(true);
-    assert!(links.asks_on_a_new_one().await);
+    assert!(links.queries_on_a_new_connection().await);
 }
 
 #[tokio::test]
-async fn a_connection_heard_from_since_is_used_again() {
+async fn a_connection_that_received_since_is_used_again() {
     let mut links = TwoLinks::open().await;
     links.lose_first(true);
-    links.spare.record_received(3);
-    assert!(!links.asks_on_a_new_one().await);
+    links.second_liveness.record_received(3);
+    assert!(!links.queries_on_a_new_connection().await);
 }
 
 #[tokio::test]
-async fn a_reset_connection_casts_no_doubt_on_another() {
+async fn a_reset_connection_does_not_suspect_another() {
     let mut links = TwoLinks::open().await;
     links.lose_first(false);
-    assert!(!links.asks_on_a_new_one().await);
+    assert!(!links.queries_on_a_new_connection().await);
 }
--- a/crates/anvil_node/tests/pipelining.rs
+++ b/crates/anvil_node/tests/pipelining.rs
@@ -1,4 +1,4 @@
-//! Callers that send further requests before the first is answered.
+//! Pipelining: callers that send further requests before the first one is answered.
 
 #![allow(clippy::unwrap_used)]
 
@@ -14,10 +14,10 @@
 use anvil_testkit::test_cases;
 use proptest::prelude::*;
 
-/// Time between two looks of a target at whether it may answer, or its caller has left.
-const LOOK_STEP: Duration = Duration::from_millis(2);
+/// Interval at which a target checks whether it may answer or its caller has disconnected.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// What a target has seen, and what it may answer.
+/// The requests that a target has received, and the paths that it may answer.
 #[derive(Debug, Default)]
 struct GateState {
     seen: Vec<String>,
@@ -25,7 +25,7 @@
     closed: usize,
 }
 
-/// A target that answers a path when the test releases it, each request on a connection of its own.
+/// A target that answers a path once the test releases it; each request has its own connection.
 #[derive(Clone, Debug)]
 struct GatedTarget {
     address: SocketAddr,
@@ -55,7 +55,7 @@
         let (lock, changed) = &*self.state;
         lock.lock().unwrap().seen.push(path.clone());
         changed.notify_all();
-        stream.set_read_timeout(Some(LOOK_STEP)).unwrap();
+        stream.set_read_timeout(Some(POLL_INTERVAL)).unwrap();
         while !lock.lock().unwrap().released.contains(&path) {
             if matches!(stream.read(&mut [0]), Ok(0)) {
                 lock.lock().unwrap().closed += 1;
@@ -67,7 +67,7 @@
             "HTTP/1.1 200 OK\r\ncontent-length: {}\r\nconnection: close\r\n\r\n{path}",
             path.len()
         );
-        // The node may have gone; the test sees that by itself.
+        // The node may have closed the connection; the test detects that itself.
         let _ = stream.write_all(answer.as_bytes());
     }
 
@@ -81,7 +81,7 @@
         let (lock, changed) = &*self.state;
         let state = lock.lock().unwrap();
         let waiting = |state: &mut GateState| !done(state);
-        let waited = changed.wait_timeout_while(state, common::PATIENCE, waiting);
+        let waited = changed.wait_timeout_while(state, common::TEST_TIMEOUT, waiting);
         let (state, timeout) = waited.unwrap();
         assert!(!timeout.timed_out(), "{what}: {state:?}");
     }
@@ -100,7 +100,7 @@
     }
 }
 
-/// The path of the request on `stream`, whose head and body have come whole by then.
+/// Reads a complete request from `stream` and returns its path.
 fn read_path(stream: &mut TcpStream) -> Option<String> {
     let mut bytes = Vec::new();
     let mut buffer = [0; 4_096];
@@ -115,7 +115,7 @@
     }
 }
 
-fn pair() -> (common::Pair, GatedTarget) {
+fn start_pair() -> (common::Pair, GatedTarget) {
     let pair = common::Pair::start("");
     let target = GatedTarget::start();
     common::announce(pair.node.bound().admin, target.address, common::SERVICE);
@@ -131,7 +131,7 @@
     format!("POST {path} HTTP/1.1\r\nhost: audiencias\r\ncontent-length: {length}\r\n\r\n{body}")
 }
 
-/// The bodies of `count` answers, as they come.
+/// Reads `count` answers and returns their bodies in order.
 fn read_answers(stream: &mut TcpStream, count: usize) -> Vec<String> {
     let mut bytes = Vec::new();
     let mut bodies = Vec::new();
@@ -149,17 +149,18 @@
         }
         let mut buffer = [0; 4_096];
         let read = stream.read(&mut buffer).unwrap();
-        assert!(read > 0, "the connection ends behind {bodies:?}");
+        assert!(read > 0, "the connection ends after {bodies:?}");
         bytes.extend_from_slice(&buffer[..read]);
     }
     bodies
 }
 
 #[test]
-fn a_slow_first_request_costs_the_others_no_time() {
-    // A caller sends three lookups at once. All three run side by side, though the first is not
-    // answered; the answers come in the order of the requests, though they are made the other way.
-    let (pair, target) = pair();
+fn a_slow_first_request_does_not_delay_the_others() {
+    // A caller sends three lookups at once. All three must run concurrently, although the first is
+    // not answered, and their responses must be in the order of the requests, although the target
+    // answers in reverse order.
+    let (pair, target) = start_pair();
     let sent = [get("/1"), get("/2"), get("/3")].concat();
     let mut stream = common::raw(pair.caller(), sent.as_bytes());
     target.await_seen(&["/1", "/2", "/3"]);
@@ -168,16 +169,16 @@
     }
     let bodies = read_answers(&mut stream, 3);
     assert_eq!(bodies, ["/1", "/2", "/3"]);
-    // The connection is kept, and serves one more.
+    // The connection stays open and serves another request.
     target.release("/4");
     stream.write_all(get("/4").as_bytes()).unwrap();
     assert_eq!(read_answers(&mut stream, 1), ["/4"]);
 }
 
 #[test]
-fn requests_that_come_in_pieces_run_side_by_side() {
-    // The second head comes in two pieces while the first request runs, the third with a body.
-    let (pair, target) = pair();
+fn fragmented_requests_run_concurrently() {
+    // The second head arrives in two pieces while the first request runs; the third has a body.
+    let (pair, target) = start_pair();
     let mut stream = common::raw(pair.caller(), get("/1").as_bytes());
     target.await_seen(&["/1"]);
     let second = get("/2");
@@ -194,10 +195,10 @@
 }
 
 #[test]
-fn what_must_not_run_twice_waits_for_its_turn() {
-    // A claim stands between two lookups. The lookups run at once; the claim runs when the first
-    // lookup is answered, as it counts as not read until then.
-    let (pair, target) = pair();
+fn a_non_idempotent_request_waits_for_its_turn() {
+    // A claim is sent between two lookups. The lookups run at once. The claim may run only when the
+    // first lookup is answered, since until then the caller may treat it as not read.
+    let (pair, target) = start_pair();
     let sent = [get("/1"), post("/claim", "mine"), get("/3")].concat();
     let mut stream = common::raw(pair.caller(), sent.as_bytes());
     target.await_seen(&["/1", "/3"]);
@@ -209,10 +210,10 @@
 }
 
 #[test]
-fn nothing_runs_behind_a_request_that_ends_its_connection() {
-    // The caller says that the first is the last one. What it sends behind counts as not read, so it
-    // does not run; the first is answered and the connection closes.
-    let (pair, target) = pair();
+fn nothing_runs_after_a_request_that_closes_its_connection() {
+    // The second request closes the connection. The caller treats requests after it as not read, so
+    // they must not run; the connection closes after the second response.
+    let (pair, target) = start_pair();
     let last = get("/1").replacen("\r\n\r\n", "\r\nconnection: close\r\n\r\n", 1);
     let sent = [get("/0"), last, get("/2")].concat();
     let stream = common::raw(pair.caller(), sent.as_bytes());
@@ -226,22 +227,23 @@
 }
 
 #[test]
-fn a_caller_that_leaves_cancels_all_of_its_requests() {
-    // A caller sends three lookups and leaves. No target works on for it.
-    let (pair, target) = pair();
+fn a_disconnect_cancels_all_requests_of_the_caller() {
+    // A caller sends three lookups and disconnects. All three runs must be cancelled.
+    let (pair, target) = start_pair();
     let sent = [get("/1"), get("/2"), get("/3")].concat();
     let stream = common::raw(pair.caller(), sent.as_bytes());
     target.await_seen(&["/1", "/2", "/3"]);
     drop(stream);
     pair.await_count(anvil_node::counters::EdgeCause::CallerDisconnected, 3);
-    target.await_state("all are closed", |state| state.closed == 3);
+    target.await_state("all connections are closed", |state| state.closed == 3);
 }
 
 #[test]
-fn a_stop_answers_what_runs_ahead_before_it_closes() {
-    // The node is told to stop while two lookups run, and leaves as soon as both have their answers.
-    // The caller reads both, and then the end; one that saw it earlier would send the second again.
-    let (pair, target) = pair();
+fn a_stop_answers_early_requests_before_the_close() {
+    // The node is asked to stop while two lookups run, and exits once both are answered. The caller
+    // must read both responses before the end of the connection, or it would send the second lookup
+    // again.
+    let (pair, target) = start_pair();
     let sent = [get("/1"), get("/2")].concat();
     let mut stream = common::raw(pair.caller(), sent.as_bytes());
     target.await_seen(&["/1", "/2"]);
@@ -255,10 +257,10 @@
 }
 
 #[test]
-fn the_body_of_a_refused_request_runs_nothing() {
+fn the_body_of_a_refused_request_is_not_run() {
     // A request is refused for a header before its body is read, and the body looks like requests.
-    // None of them runs; the request behind the body is served.
-    let (pair, target) = pair();
+    // None of them may run; the request after the body is served.
+    let (pair, target) = start_pair();
     target.release("/after");
     let inner = get("/smuggled").repeat(3);
     let refused = post("/1", &inner).replacen("\r\n\r\n", "\r\nanvil-timeout-ms: soon\r\n\r\n", 1);
@@ -271,9 +273,10 @@
 }
 
 #[test]
-fn requests_behind_chunks_are_served_in_turn() {
-    // The end of a body in chunks is known to the library alone, so what follows waits its turn.
-    let (pair, target) = pair();
+fn requests_after_a_chunked_body_are_served_in_turn() {
+    // Only the HTTP library knows the end of a chunked body, so requests after it wait for their
+    // turn.
+    let (pair, target) = start_pair();
     for path in ["/1", "/2", "/3"] {
         target.release(path);
     }
@@ -285,9 +288,9 @@
 }
 
 #[test]
-fn more_requests_than_may_run_ahead_are_all_served() {
-    // Forty lookups come at once; those beyond the bound wait until the ones in front are answered.
-    let (pair, target) = pair();
+fn requests_beyond_the_early_limit_are_served() {
+    // Forty lookups arrive at once; those beyond the limit wait until earlier ones are answered.
+    let (pair, target) = start_pair();
     let paths: Vec<String> = (0..40).map(|number| format!("/{number}")).collect();
     for path in &paths {
         target.release(path);
@@ -297,45 +300,45 @@
     assert_eq!(read_answers(&mut stream, 40), paths);
 }
 
-fn a_front_is_read(bytes: &str, expected: Option<(usize, usize, bool)>) {
+fn check_parse_front(bytes: &str, expected: Option<(usize, usize, bool)>) {
     let found = match framing::parse_front(bytes.as_bytes(), 1_024) {
         framing::ParsedRequest::Known(known) => Some(known),
         _ => None,
     };
     let found = found.map(|known| {
-        let may_run_ahead = !known.expects_continue && !known.closes_connection;
-        (known.head_bytes, known.body_bytes, may_run_ahead)
+        let may_run_early = !known.expects_continue && !known.closes_connection;
+        (known.head_bytes, known.body_bytes, may_run_early)
     });
     assert_eq!(found, expected);
 }
 
 test_cases! {
-    a_front_is_read:
+    check_parse_front:
     without_a_body => ("GET / HTTP/1.1\r\nhost: a\r\n\r\nGET /", Some((27, 0, true))),
     with_a_length => ("PUT / HTTP/1.1\r\ncontent-length: 12\r\n\r\n", Some((38, 12, true))),
     last_of_its_connection => ("GET / HTTP/1.1\r\nconnection: te, Close\r\n\r\n", Some((41, 0, false))),
-    waits_for_an_interim_answer => ("GET / HTTP/1.1\r\nexpect: 100-continue\r\n\r\n", Some((40, 0, false))),
-    not_whole => ("GET / HTTP/1.1\r\nhost", None),
+    expects_an_interim_response => ("GET / HTTP/1.1\r\nexpect: 100-continue\r\n\r\n", Some((40, 0, false))),
+    incomplete_head => ("GET / HTTP/1.1\r\nhost", None),
     in_chunks => ("PUT / HTTP/1.1\r\ntransfer-encoding: chunked\r\n\r\n", None),
     two_lengths => ("PUT / HTTP/1.1\r\ncontent-length: 1\r\ncontent-length: 1\r\n\r\n", None),
-    no_length => ("PUT / HTTP/1.1\r\ncontent-length: +1\r\n\r\n", None),
+    invalid_length => ("PUT / HTTP/1.1\r\ncontent-length: +1\r\n\r\n", None),
     of_an_older_version => ("GET / HTTP/1.0\r\n\r\n", None),
     an_upgrade => ("GET / HTTP/1.1\r\nupgrade: h2c\r\n\r\n", None),
     a_tunnel => ("CONNECT a:1 HTTP/1.1\r\n\r\n", None),
-    no_request => ("\u{1}\u{2}\r\n\r\n", None),
+    not_a_request => ("\u{1}\u{2}\r\n\r\n", None),
 }
 
 proptest! {
     #[test]
-    fn no_front_makes_it_panic(bytes in prop::collection::vec(any::<u8>(), 0..300), limit in 0_usize..400) {
+    fn parse_front_never_panics(bytes in prop::collection::vec(any::<u8>(), 0..300), limit in 0_usize..400) {
         let _ = framing::parse_front(&bytes, limit);
     }
 
     #[test]
-    fn a_known_request_lies_within_its_bytes(body in 0_usize..2_000, rest in "[ -~]{0,60}") {
+    fn a_known_request_has_the_stated_length(body in 0_usize..2_000, rest in "[ -~]{0,60}") {
         let text = format!("PUT /x HTTP/1.1\r\ncontent-length: {body}\r\n\r\n{rest}");
         let framing::ParsedRequest::Known(known) = framing::parse_front(text.as_bytes(), 1_024) else {
-            return Err(TestCaseError::fail("it is known"));
+            return Err(TestCaseError::fail("its length is known"));
         };
         prop_assert_eq!(known.total_bytes(), text.len() - rest.len() + body);
     }
--- a/crates/anvil_node/tests/settings_check.rs
+++ b/crates/anvil_node/tests/settings_check.rs
@@ -1,4 +1,4 @@
-//! Settings are checked whole, and each fault names the file, the line, the field and the reason.
+//! Settings are validated completely; errors name the file, the line, the field and the reason.
 
 #![allow(clippy::unwrap_used)]
 
@@ -7,7 +7,7 @@
 use anvil_node::settings;
 use anvil_testkit::test_cases;
 
-const GOOD: &str = "\
+const VALID: &str = "\
 zone: ar-centro-a
 region: ar-centro
 advertise: 10.0.0.5
@@ -24,22 +24,22 @@
 ";
 
 #[test]
-fn good_settings_are_taken() {
-    let settings = settings::parse(GOOD, Path::new("node.yaml")).unwrap();
+fn valid_settings_are_accepted() {
+    let settings = settings::parse(VALID, Path::new("node.yaml")).unwrap();
     assert_eq!(settings.zone.as_str(), "ar-centro-a");
     assert_eq!(settings.limits.caller_connections, 10);
     let others = settings::LimitSettings::default();
     assert_eq!(settings.limits.header_bytes, others.header_bytes);
 }
 
-fn refused(good: &str, bad: &str, expected: &[&str]) {
-    assert!(GOOD.contains(good), "the case changes a line that is there");
-    let text = GOOD.replace(good, bad);
+fn refused(valid: &str, invalid: &str, expected: &[&str]) {
+    assert!(VALID.contains(valid), "the case changes an existing text");
+    let text = VALID.replace(valid, invalid);
     let error = settings::parse(&text, Path::new("node.yaml")).unwrap_err();
-    let said = error.to_string();
-    assert!(said.contains("node.yaml"), "{said}");
+    let text = error.to_string();
+    assert!(text.contains("node.yaml"), "{text}");
     for part in expected {
-        assert!(said.contains(part), "{part:?} is missing in: {said}");
+        assert!(text.contains(part), "{part:?} is missing in: {text}");
     }
 }
 
@@ -48,18 +48,18 @@
     unknown_field => ("seeds:", "seed:", &["line 9", "seed"]),
     unknown_limit => ("  caller_connections: 10", "  connections: 10", &["line 13", "connections"]),
     missing_field => ("region: ar-centro\n", "", &["region"]),
-    twice_the_same => ("region: ar-centro\n", "zone: ar-centro-b\nregion: ar-centro\n", &["line 2", "zone"]),
+    duplicate_field => ("region: ar-centro\n", "zone: ar-centro-b\nregion: ar-centro\n", &["line 2", "zone"]),
     bad_zone => ("ar-centro-a", "AR Centro", &["line 1", "zone", "a-z"]),
     bad_address => ("10.0.0.5", "host.example", &["line 3", "advertise"]),
-    no_address_to_reach => ("10.0.0.5", "0.0.0.0", &["advertise", "reach"]),
+    unreachable_address => ("10.0.0.5", "0.0.0.0", &["advertise", "reach"]),
     bad_listen => ("127.0.0.1:8081", "8081", &["line 6", "admin"]),
     bad_seed => ("10.0.0.6:7400", "10.0.0.6", &["line 9", "seeds"]),
     limit_too_low => ("connections: 10", "connections: 0", &["line 13", "caller_connections", "1 to 100000"]),
-    limit_no_number => ("connections: 10", "connections: many", &["line 13", "caller_connections"]),
+    limit_not_a_number => ("connections: 10", "connections: many", &["line 13", "caller_connections"]),
     no_keys => ("  - {id: 1, secret: abababababababababababababababababababababababababababababababab}", "  []", &["line 11", "peer_keys", "at least one"]),
     short_key => ("abababababababababababababababababababababababababababababababab", "abcd", &["peer_keys", "shorter than 32"]),
-    key_no_hex => ("secret: ab", "secret: xy", &["line 11", "secret", "hex digits"]),
-    key_twice => ("limits:", "  - {id: 1, secret: cdcdcdcdcdcdcdcdcdcdcdcdcdcdcdcdcdcdcdcdcdcdcdcdcdcdcdcdcdcdcdcd}\nlimits:", &["peer_keys", "two keys"]),
+    key_not_hex => ("secret: ab", "secret: xy", &["line 11", "secret", "hex digits"]),
+    duplicate_key_id => ("limits:", "  - {id: 1, secret: cdcdcdcdcdcdcdcdcdcdcdcdcdcdcdcdcdcdcdcdcdcdcdcdcdcdcdcdcdcdcdcd}\nlimits:", &["peer_keys", "two keys"]),
     broken_yaml => ("listen:", "listen: [", &["line"]),
 }
 
@@ -73,8 +73,8 @@
 }
 
 #[test]
-fn keys_never_show() {
-    let settings = settings::parse(GOOD, Path::new("node.yaml")).unwrap();
-    let shown = format!("{settings:?}").to_lowercase();
-    assert!(!shown.contains("abab") && !shown.contains("171"), "{shown}");
+fn keys_are_never_printed() {
+    let settings = settings::parse(VALID, Path::new("node.yaml")).unwrap();
+    let text = format!("{settings:?}").to_lowercase();
+    assert!(!text.contains("abab") && !text.contains("171"), "{text}");
 }
--- a/crates/anvil_node/tests/target_faults.rs
+++ b/crates/anvil_node/tests/target_faults.rs
@@ -1,4 +1,4 @@
-//! The target fails in every way it can, and callers learn exactly what is known.
+//! Failures of the target, and the exact outcomes that callers get.
 
 #![allow(clippy::unwrap_used)]
 
@@ -22,17 +22,18 @@
         "application/problem+json"
     );
     pair.await_count(cause, 1);
-    pair.assert_lives();
+    pair.assert_serving();
 }
 
 test_cases! {
     fails:
-    // The caller sees 502 and may-have-run, never a 200 with half a body: the target answers 200,
-    // sends the first half and breaks off; the node had not begun its own reply yet.
-    dies_in_its_answer => ("/cut", 502, "may-have-run", counters::EdgeCause::TargetAnswerTruncated),
-    // The caller sees may-have-run: the target took the whole request and closed without an
-    // answer, so it may have stored the bid.
-    dies_before_its_answer => ("/drop", 502, "may-have-run", counters::EdgeCause::TargetBroken),
+    // The target answers 200, sends half of the body and closes the connection. The node must not
+    // have begun its own response by then: the caller gets 502 and may-have-run, never a 200 with
+    // half a body.
+    closes_in_its_answer => ("/cut", 502, "may-have-run", counters::EdgeCause::TargetAnswerTruncated),
+    // The target reads the whole request and closes the connection without an answer. It may have
+    // stored the bid, so the caller gets may-have-run.
+    closes_before_its_answer => ("/drop", 502, "may-have-run", counters::EdgeCause::TargetBroken),
     answer_too_large => ("/bytes/8388609", 502, "may-have-run", counters::EdgeCause::TargetAnswerOversized),
 }
 
@@ -63,8 +64,9 @@
 
 test_cases! {
     scripted_fails:
-    // A target that dies closes its connection like one that has finished; without a length or
-    // chunks the two can't be told apart, and a caller would take half an answer for a whole one.
+    // A target that crashes closes its connection like one that has finished. Without a length or
+    // chunks the two can't be distinguished, and a caller could take half an answer for a complete
+    // one.
     unframed_answer => (b"HTTP/1.1 200 OK\r\n\r\nhalf or whole?", counters::EdgeCause::TargetAnswerUnframed),
     short_answer => (b"HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhalf", counters::EdgeCause::TargetAnswerTruncated),
     cut_chunks => (b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n5\r\nthr", counters::EdgeCause::TargetAnswerTruncated),
@@ -86,12 +88,12 @@
 }
 
 #[test]
-fn a_target_nobody_listens_for_is_not_run() {
+fn a_request_to_a_closed_port_is_not_run() {
     let pair = common::Pair::start("");
-    // Bound and never listened on: connections are refused, and no other test is given the port.
-    let vacant = TcpSocket::new_v4().unwrap();
-    vacant.bind(SocketAddr::from(([127, 0, 0, 1], 0))).unwrap();
-    let address = vacant.local_addr().unwrap();
+    // Bound but not listening: connections are refused, and no other test can get the port.
+    let bound = TcpSocket::new_v4().unwrap();
+    bound.bind(SocketAddr::from(([127, 0, 0, 1], 0))).unwrap();
+    let address = bound.local_addr().unwrap();
     common::announce(pair.node.bound().admin, address, common::SERVICE);
     let response = pair.request("POST", "/bids").text("a bid").send().unwrap();
     assert_eq!(response.status(), 503);
@@ -99,11 +101,10 @@
     pair.await_count(counters::EdgeCause::TargetUnreachable, 1);
 }
 
-// The caller waits 100 ms and gets 504 with may-have-run: the request was out at a target that
-// answers after a minute. The node closes the connection at the deadline, which is how a target
-// learns that nobody waits any more.
+// The caller waits 100 ms for a target that answers after a minute, and gets 504 with may-have-run.
+// The node must close the connection at the deadline, so that the target can cancel the run.
 #[test]
-fn a_deadline_ends_the_run_at_the_target() {
+fn a_deadline_cancels_the_run_at_the_target() {
     let pair = common::Pair::start("");
     let request = pair
         .request("GET", "/slow/60000")
@@ -111,27 +112,33 @@
     let response = request.send().unwrap();
     assert_eq!(response.status(), 504);
     assert_eq!(response.headers()["anvil-outcome"], "may-have-run");
-    common::await_true("the target is told", || pair.target.abandoned() == 1);
+    common::await_true("the run is cancelled at the target", || {
+        pair.target.abandoned() == 1
+    });
 }
 
-// The caller closes its connection while the target works. The node learns it at once, cancels
-// the run by closing the target's connection, and nothing is left open.
+// The caller closes its connection while the target works. The node must notice that at once and
+// cancel the run by closing the connection to the target.
 #[test]
-fn a_caller_that_leaves_ends_the_run_at_the_target() {
+fn a_disconnect_cancels_the_run_at_the_target() {
     let pair = common::Pair::start("");
     let request = "GET /slow/60000 HTTP/1.1\r\nhost: audiencias\r\n\r\n";
     let stream = common::raw(pair.caller(), request.as_bytes());
-    common::await_true("the target has it", || pair.target.seen().len() == 1);
+    common::await_true("the target has the request", || {
+        pair.target.seen().len() == 1
+    });
     drop(stream);
-    common::await_true("the target is told", || pair.target.abandoned() == 1);
+    common::await_true("the run is cancelled at the target", || {
+        pair.target.abandoned() == 1
+    });
     pair.await_count(counters::EdgeCause::CallerDisconnected, 1);
-    pair.assert_lives();
+    pair.assert_serving();
 }
 
-// The target closes a kept connection between two requests, as every server does in the end. The
-// next request goes over a new connection; the caller sees nothing of it.
+// The target closes an idle connection between two requests, as every server does eventually. The
+// next request must use a new connection, and its caller must not notice.
 #[test]
-fn a_kept_connection_that_the_target_closed_is_replaced() {
+fn a_pooled_connection_that_the_target_closed_is_replaced() {
     let pair = common::Pair::start("");
     let once = scripted(b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok");
     common::announce(pair.node.bound().admin, once, common::SERVICE);
--- a/crates/anvil_node/tests/two_nodes.rs
+++ b/crates/anvil_node/tests/two_nodes.rs
@@ -12,30 +12,30 @@
 use anvil_standins::{http_target, process};
 use anvil_types::ident;
 use anvil_wire::{call, frame};
-use common::impostor;
+use common::fake_peer;
 
-/// An entry node without a target that knows the node at `seed`.
+/// Starts an entry node without a target that joins the node at `seed`.
 fn entry(seed: std::net::SocketAddr) -> node::RunningNode {
     let yaml = format!("{}seeds: ['{seed}']\n", common::yaml(""));
     let settings = settings::parse(&yaml, Path::new("entry.yaml")).unwrap();
     node::start(&settings).unwrap()
 }
 
-/// Waits until the entry node has heard of a target.
+/// Waits until the entry node has learned of a target.
 fn await_target(entry: &node::RunningNode) {
     let caller = entry.bound().caller;
-    common::await_true("the entry node hears of the target", || {
+    common::await_true("the entry node learns of the target", || {
         let response = common::request(caller, "GET", "/joined").send().unwrap();
         response.status() == 200
     });
 }
 
 #[test]
-fn a_request_crosses_two_nodes_whole() {
+fn a_request_passes_two_nodes_unchanged() {
     let pair = common::Pair::start("");
     let entry = entry(pair.node.bound().gossip);
     await_target(&entry);
-    let body: Vec<u8> = (0..300_000).map(|place| (place % 253) as u8).collect();
+    let body: Vec<u8> = (0..300_000).map(|index| (index % 253) as u8).collect();
     let request = common::request(entry.bound().caller, "PUT", "/evidence/7?part=1");
     let response = request.bytes(&body).send().unwrap();
     assert_eq!(response.status(), 200);
@@ -51,11 +51,11 @@
     assert_eq!(seen.head.uri, "/evidence/7?part=1");
 }
 
-// A target calls another service by its own node, with the token it got. The second target sees
-// the root request's id; once the first run has ended the token is worth nothing, because nobody
-// waits for what would be done in its name.
+// A target calls another service through its own node, with the token that it received. The second
+// target must get the id of the root request. Once the first run has ended the token is invalid,
+// because nobody waits for the results of calls made with it.
 #[test]
-fn the_context_follows_a_targets_own_calls() {
+fn the_context_follows_the_calls_of_a_target() {
     let inner = common::Pair::start("");
     let outer = entry(inner.node.bound().gossip);
     await_target(&outer);
@@ -63,7 +63,7 @@
     common::announce(outer.bound().admin, parent.address(), "mesa-entradas");
     let caller = outer.bound().caller;
     let root = "0123456789abcdef0123456789abcdef";
-    let asking = thread::spawn(move || {
+    let waiting_caller = thread::spawn(move || {
         let url = format!("http://{caller}/slow/800");
         let request = attohttpc::post(url)
             .header("anvil-service", "mesa-entradas")
@@ -82,21 +82,21 @@
     let below = below.last().unwrap();
     assert_eq!(below.head.uri, "/child");
     assert_eq!(below.header("anvil-request-id"), Some(root));
-    assert_eq!(asking.join().unwrap(), 200);
+    assert_eq!(waiting_caller.join().unwrap(), 200);
     let late = child("/too-late");
     assert_eq!(late.headers()["anvil-outcome"], "not-run");
     assert_eq!(inner.target.seen().last().unwrap().head.uri, "/child");
 }
 
-// The node beside the target sends each answer twice, repeats an old one in front of a new one
-// and answers attempts that were never made. Each caller gets the answer to its own request, once.
+// A peer sends each answer twice, repeats an old answer before a new one, and answers attempts that
+// were never made. Each caller must get the answer to its own request, once.
 #[test]
-fn stale_answers_reach_nobody() {
+fn stale_answers_are_ignored() {
     let entry = entry("127.0.0.1:9".parse().unwrap());
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    impostor::introduce(entry.bound().gossip, listener.local_addr().unwrap());
-    let mut peer = impostor::Impostor::accept(&listener);
-    peer.tell_members();
+    fake_peer::announce_peer(entry.bound().gossip, listener.local_addr().unwrap());
+    let mut peer = fake_peer::FakePeer::accept(&listener);
+    peer.send_members();
     await_service(&entry);
     let caller = entry.bound().caller;
     let ask = move |path: &'static str| {
@@ -123,25 +123,25 @@
     assert_eq!(second.join().unwrap(), "second");
 }
 
-/// Waits until the entry node knows the played target and serves, which a fresh node does only once it
-/// has asked its peers for the members that they know.
+/// Waits until the entry node knows the service of the fake peer and serves, which a new node does
+/// only after it has compared its members with its peers.
 fn await_service(entry: &node::RunningNode) {
     let status = format!("http://{}/status", entry.bound().admin);
     common::await_true("the entry node knows the service and serves", || {
         let response = attohttpc::get(&status).send().unwrap();
-        let told = response.text().unwrap();
-        told.contains("audiencias") && told.contains("\"rules_compared\":true")
+        let status = response.text().unwrap();
+        status.contains("audiencias") && status.contains("\"rules_compared\":true")
     });
 }
 
-/// An entry node and a played node with two connections between them, of which a call is out on the
-/// first and the second was last heard from.
+/// An entry node and a fake peer with two connections between them. A call is in flight on the
+/// first, and the entry node has received a frame on the second since.
 struct TwoConnections {
     entry: node::RunningNode,
-    asking: thread::JoinHandle<String>,
+    caller: thread::JoinHandle<String>,
     call: call::PeerCall,
-    first: impostor::Impostor,
-    second: impostor::Impostor,
+    first: fake_peer::FakePeer,
+    second: fake_peer::FakePeer,
 }
 
 fn ask(entry: &node::RunningNode) -> thread::JoinHandle<String> {
@@ -155,64 +155,71 @@
 fn two_connections() -> TwoConnections {
     let entry = entry("127.0.0.1:9".parse().unwrap());
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    impostor::introduce(entry.bound().gossip, listener.local_addr().unwrap());
-    let mut first = impostor::Impostor::accept(&listener);
-    first.tell_members();
+    fake_peer::announce_peer(entry.bound().gossip, listener.local_addr().unwrap());
+    let mut first = fake_peer::FakePeer::accept(&listener);
+    first.send_members();
     await_service(&entry);
-    let asking = ask(&entry);
+    let caller = ask(&entry);
     let call = first.receive_call();
-    let mut second = impostor::Impostor::connect(entry.bound().peer);
-    // The entry node has no target and refuses; its answer shows that it has heard the second one.
-    let mut heard = call.clone();
-    heard.call = ident::CallId {
-        node: impostor::NODE,
+    let mut second = fake_peer::FakePeer::connect(entry.bound().peer);
+    // The entry node has no target and refuses this call; its answer shows that it has received a
+    // frame on the second connection.
+    let mut second_call = call.clone();
+    second_call.call = ident::CallId {
+        node: fake_peer::NODE,
         sequence: 1,
     };
-    second.send(&frame::PeerFrame::Call(Box::new(heard)));
+    second.send(&frame::PeerFrame::Call(Box::new(second_call)));
     second.receive_answer();
     TwoConnections {
         entry,
-        asking,
+        caller,
         call,
         first,
         second,
     }
 }
 
-// Two nodes dialled each other at once and hold two connections. One of them ends while a call is
-// out on the other. No answer was due on it, so the other one stays: the call is answered, and so is
-// the next one, on the same connection.
+// Two nodes have connected to each other at the same time and have two connections. One ends while
+// a call is in flight on the other. No answer was due on it, so the other one stays in use: the
+// call is answered, and so is the next one, on the same connection.
 #[test]
 fn the_end_of_one_of_two_connections_loses_no_answer() {
     let mut two = two_connections();
     drop(two.second);
     let lost = anvil_node::counters::EdgeCause::PeerConnectionLost;
-    common::await_true("one has ended", || two.entry.counters().total(lost) == 1);
+    common::await_true("one connection has ended", || {
+        two.entry.counters().total(lost) == 1
+    });
     two.first.answer(two.call.call, two.call.attempt, "whole");
-    assert_eq!(two.asking.join().unwrap(), "whole");
-    let asking = ask(&two.entry);
+    assert_eq!(two.caller.join().unwrap(), "whole");
+    let caller = ask(&two.entry);
     let next = two.first.receive_call();
     two.first.answer(next.call, next.attempt, "whole again");
-    assert_eq!(asking.join().unwrap(), "whole again");
+    assert_eq!(caller.join().unwrap(), "whole again");
 }
 
-// The same with a call out on each. The one that ends has its call's answer on the way. The entry node
-// asks over the other one what became of its calls there, so both callers get their answers; given up
-// with the connection, one would be told "may have run" of a bid that was filed.
+// The same with a call in flight on each connection. When one ends, the entry node must query the
+// outcome of all its calls at the peer over the other one, so that both callers get their answers.
+// If the call were failed with its connection, its caller would get "may have run" for a bid that
+// succeeded.
 #[test]
-fn the_end_of_a_connection_with_a_call_costs_no_call() {
+fn the_end_of_a_connection_with_a_call_fails_no_call() {
     let mut two = two_connections();
     let other = ask(&two.entry);
     let call = two.second.receive_call();
     drop(two.second);
-    let asked = two.first.receive_asked();
-    let mut sequences: Vec<u64> = asked.iter().map(|asked| asked.id.call.sequence).collect();
+    let queried = two.first.receive_query();
+    let mut sequences: Vec<u64> = queried
+        .iter()
+        .map(|attempt| attempt.id.call.sequence)
+        .collect();
     sequences.sort_unstable();
     assert_eq!(sequences, [two.call.call.sequence, call.call.sequence]);
-    assert!(asked.iter().all(|asked| !asked.idempotent));
+    assert!(queried.iter().all(|attempt| !attempt.idempotent));
     two.first.answer(call.call, call.attempt, "the other");
     two.first.answer(two.call.call, two.call.attempt, "whole");
-    assert_eq!(two.asking.join().unwrap(), "whole");
+    assert_eq!(two.caller.join().unwrap(), "whole");
     assert_eq!(other.join().unwrap(), "the other");
 }
 
@@ -229,11 +236,11 @@
     .unwrap()
 }
 
-// The node beside the target is killed while it runs a bid. Its socket closes, so the caller
-// learns at once that its bid may have run, not after its deadline. A bid sent afterwards finds no
-// connection: nothing of it left, so it is told not-run.
+// The node of the target is killed while a bid runs. Its socket closes, so the caller must get
+// may-have-run at once and not after its deadline. For a bid sent afterwards no connection can be
+// opened and nothing is sent, so it must get not-run.
 #[test]
-fn a_killed_node_is_told_exactly() {
+fn calls_at_a_killed_node_are_reported_exactly() {
     let mut node = start("killed_node");
     let target = http_target::StandInTarget::start().unwrap();
     common::announce(node.addresses().admin, target.address(), common::SERVICE);
@@ -246,24 +253,24 @@
         let outcome = response.headers()["anvil-outcome"].clone();
         (response.status().as_u16(), outcome)
     };
-    let asking = thread::spawn(move || ask("/slow/60000"));
+    let waiting_caller = thread::spawn(move || ask("/slow/60000"));
     let runs = |path: &str| {
         let seen = target.seen();
         seen.iter().any(|seen| seen.head.uri == path)
     };
-    common::await_true("it runs", || runs("/slow/60000"));
+    common::await_true("the request runs", || runs("/slow/60000"));
     node.kill();
-    let (status, outcome) = asking.join().unwrap();
+    let (status, outcome) = waiting_caller.join().unwrap();
     assert_eq!((status, outcome.to_str().unwrap()), (502, "may-have-run"));
     let (status, outcome) = ask("/afterwards");
     assert_eq!((status, outcome.to_str().unwrap()), (503, "not-run"));
     assert!(!runs("/afterwards"));
 }
 
-// The node beside the target is asked to stop while ten bids run there for callers of another
-// node. All ten are answered whole before it ends, and its peers hear that it leaves.
+// The node of the target is asked to stop while ten bids run there for callers of another node. All
+// ten must be answered completely before it exits.
 #[test]
-fn a_planned_stop_cuts_nothing_across_nodes() {
+fn a_planned_stop_completes_calls_across_nodes() {
     let mut node = start("leaving_node");
     let target = http_target::StandInTarget::start().unwrap();
     common::announce(node.addresses().admin, target.address(), common::SERVICE);
@@ -277,20 +284,22 @@
         (response.status().as_u16(), response.text().unwrap())
     };
     let callers: Vec<_> = (0..10).map(|_| thread::spawn(ask)).collect();
-    common::await_true("all run", || target.seen().len() == before + 10);
+    common::await_true("all requests run", || target.seen().len() == before + 10);
     node.terminate().unwrap();
     for caller in callers {
         assert_eq!(caller.join().unwrap(), (200, "a bid".to_owned()));
     }
-    assert!(node.wait_end(common::PATIENCE).unwrap(), "exit code zero");
+    assert!(
+        node.wait_end(common::TEST_TIMEOUT).unwrap(),
+        "exit code zero"
+    );
     assert_eq!(target.abandoned(), 0);
 }
 
-// The node beside the target freezes with a bid on its way to it. Its connection stays open, so
-// nothing tells of the loss; the caller learns "may have run" at its own deadline. Once the node
-// goes on, the same connection serves again.
+// The node of the target freezes while a bid is sent to it. Its connection stays open, so the
+// caller gets may-have-run only at its deadline. Once the node resumes, it must serve again.
 #[test]
-fn a_frozen_node_costs_a_caller_no_more_than_its_deadline() {
+fn calls_at_a_frozen_node_end_at_their_deadlines() {
     let node = start("frozen_node");
     let target = http_target::StandInTarget::start().unwrap();
     common::announce(node.addresses().admin, target.address(), common::SERVICE);
