--- a/crates/anvil_node/src/caller/head_timer.rs
+++ b/crates/anvil_node/src/caller/head_timer.rs
@@ -23,8 +23,8 @@
 
 /// Times the heads of one connection.
 ///
-/// It is shared by the connection's socket and its service. Both run in one task, so separate loads
-/// and stores suffice.
+/// It is shared by the connection's socket and its service. Both run in one task, so no atomic
+/// read-modify-write operations are needed.
 #[derive(Debug)]
 pub struct HeadTimer {
     opened_at: Instant,
--- a/crates/anvil_node/src/caller/problem.rs
+++ b/crates/anvil_node/src/caller/problem.rs
@@ -105,7 +105,7 @@
         Reason::RulesUnknown => (busy(), "the node has not received the rules yet"),
         Reason::NotFound => (
             StatusCode::NOT_FOUND,
-            "a rule answers the path with not found",
+            "a rule refuses the request as not found",
         ),
         Reason::Rule => (StatusCode::FORBIDDEN, "a rule refuses the request"),
         Reason::Malformed => (StatusCode::BAD_REQUEST, "the request is malformed"),
--- a/crates/anvil_node/src/store.rs
+++ b/crates/anvil_node/src/store.rs
@@ -24,10 +24,11 @@
 
 /// Refill interval of the request budget for the owners of keys.
 ///
-/// The owners limit their own rate below this interval and below [`KEY_BURST`]. The requests of all
-/// nodes together are proportional to the number of slots and not of nodes, so a node may make more
-/// of them than of other requests.
+/// The owners limit themselves to a lower rate and a smaller burst than this and [`KEY_BURST`]. The
+/// number of their requests in the whole fleet is proportional to the slots and not to the nodes, so
+/// a node may make more of them than of other requests.
 const KEY_INTERVAL: Duration = Duration::from_millis(15);
+
 /// Maximum burst of requests for the owners of keys.
 const KEY_BURST: u32 = 192;
 
