--- a/crates/anvil_core/src/admitting.rs
+++ b/crates/anvil_core/src/admitting.rs
@@ -39,7 +39,7 @@
                 refusal::RefusalLimit::Deadline,
             );
         }
-        if let Some(limit) = self.quarantine_of(call.context.print) {
+        if let Some(limit) = self.quarantine_of(call.context.fingerprint) {
             return cause(verdict::RefusalReason::Quarantined, limit);
         }
         // A run is wasted if a service that it needs refuses its call. The cut lines of services
@@ -54,8 +54,11 @@
         None
     }
 
-    pub(crate) fn quarantine_of(&self, print: ident::PrintHash) -> Option<refusal::RefusalLimit> {
-        match self.overload.poison.status(self.now, print) {
+    pub(crate) fn quarantine_of(
+        &self,
+        fingerprint: ident::RequestFingerprint,
+    ) -> Option<refusal::RefusalLimit> {
+        match self.overload.poison.status(self.now, fingerprint) {
             quarantine::PrintStatus::Quarantined { seen, allowed, .. } => {
                 Some(refusal::RefusalLimit::Crashes { seen, allowed })
             }
@@ -69,7 +72,7 @@
         let Some(run) = self.runs.get(id) else {
             return;
         };
-        let status = self.overload.poison.status(now, run.context.print);
+        let status = self.overload.poison.status(now, run.context.fingerprint);
         let waiting = admission::WaitingCall {
             id: id.0,
             rank: rank::CallRank::of(&run.context),
@@ -245,9 +248,12 @@
             idempotent: run.context.idempotent,
             timeout,
         };
-        let (print, rule) = (run.context.print, overload::crash_rule(&run.treatment));
+        let (fingerprint, rule) = (
+            run.context.fingerprint,
+            overload::crash_rule(&run.treatment),
+        );
         let keyed = run.keyed_record(id);
-        self.overload.poison.run_started(id.0, print, rule);
+        self.overload.poison.run_started(id.0, fingerprint, rule);
         self.counters.runs_started += 1;
         self.effects
             .push(effect::NodeEffect::RunTarget(Box::new(order)));
@@ -291,8 +297,10 @@
             limit::RunEnd::Refused
         }
         verdict::CallVerdict::MayHaveRun(_) if run.expired => limit::RunEnd::TimedOut,
-        verdict::CallVerdict::MayHaveRun(verdict::DoubtReason::Deadline) => limit::RunEnd::TimedOut,
-        verdict::CallVerdict::MayHaveRun(verdict::DoubtReason::Cancelled) => {
+        verdict::CallVerdict::MayHaveRun(verdict::UncertaintyReason::Deadline) => {
+            limit::RunEnd::TimedOut
+        }
+        verdict::CallVerdict::MayHaveRun(verdict::UncertaintyReason::Cancelled) => {
             limit::RunEnd::Cancelled
         }
         verdict::CallVerdict::NotRun(_) | verdict::CallVerdict::MayHaveRun(_) => {
--- a/crates/anvil_core/src/answer_cache.rs
+++ b/crates/anvil_core/src/answer_cache.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use anvil_types::{sorted, time};
-use anvil_wire::{call, fate};
+use anvil_wire::{call, outcome};
 
 use crate::calls;
 
@@ -42,7 +42,7 @@
 #[derive(Clone, Copy, Debug)]
 struct CachedEntry {
     until: time::NodeTime,
-    id: fate::AttemptId,
+    id: outcome::AttemptId,
     bytes: usize,
 }
 
@@ -55,7 +55,7 @@
 #[derive(Clone, Debug)]
 pub struct AnswerCache {
     bounds: CacheBounds,
-    answers: sorted::SortedTable<fate::AttemptId, call::PeerAnswer>,
+    answers: sorted::SortedTable<outcome::AttemptId, call::PeerAnswer>,
     order: VecDeque<CachedEntry>,
     bytes: usize,
 }
@@ -87,7 +87,7 @@
     }
 
     /// The answer to an attempt, if it is still cached.
-    pub fn get(&self, id: fate::AttemptId) -> Option<&call::PeerAnswer> {
+    pub fn get(&self, id: outcome::AttemptId) -> Option<&call::PeerAnswer> {
         self.answers.get(id)
     }
 
--- a/crates/anvil_core/src/applying.rs
+++ b/crates/anvil_core/src/applying.rs
@@ -14,7 +14,7 @@
 const PART: &str = "rules";
 
 /// Largest encoded change, in bytes: the limit of the store without the envelope of a log entry.
-const MAX_CHANGE_BYTES: usize = store::VALUE_LIMIT - 1_024;
+const MAX_CHANGE_BYTES: usize = store::MAX_VALUE_BYTES - 1_024;
 
 /// The change that an operator requested.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/anvil_core/src/calls.rs
+++ b/crates/anvil_core/src/calls.rs
@@ -50,7 +50,7 @@
     /// The treatment by the rules.
     pub treatment: treatment::RuleTreatment,
     /// The rule that applied.
-    pub rule: treatment::RuleMark,
+    pub rule: treatment::RuleReference,
     /// When the call arrived.
     pub arrived: time::NodeTime,
     /// When the caller stops waiting.
@@ -66,7 +66,7 @@
     /// Nodes that refused or failed an attempt.
     pub tried: Vec<ident::NodeId>,
     /// Why an attempt may have run, if the outcome of one is uncertain.
-    pub uncertainty: Option<verdict::DoubtReason>,
+    pub uncertainty: Option<verdict::UncertaintyReason>,
     /// What the call waits for.
     pub stage: CallStage,
     /// The run of the local target that made the call, if there is one.
--- a/crates/anvil_core/src/duplicates.rs
+++ b/crates/anvil_core/src/duplicates.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use anvil_types::{sorted, time};
-use anvil_wire::fate;
+use anvil_wire::outcome;
 
 /// How long an attempt of a non-idempotent request is remembered. No frame is in transit for
 /// longer, because connections that deliver nothing for a minute are closed.
@@ -47,8 +47,8 @@
 #[derive(Clone, Debug)]
 pub struct DuplicateFilter {
     retention: Duration,
-    seen: sorted::SortedTable<fate::AttemptId, ()>,
-    order: VecDeque<(time::NodeTime, fate::AttemptId)>,
+    seen: sorted::SortedTable<outcome::AttemptId, ()>,
+    order: VecDeque<(time::NodeTime, outcome::AttemptId)>,
     /// Attempts that arrived at this time or earlier may have been evicted.
     evicted_until: Option<time::NodeTime>,
     /// When the last attempt was checked.
@@ -68,7 +68,7 @@
     }
 
     /// Records an attempt and returns whether it is new.
-    pub fn admit(&mut self, now: time::NodeTime, id: fate::AttemptId) -> bool {
+    pub fn admit(&mut self, now: time::NodeTime, id: outcome::AttemptId) -> bool {
         self.evict(now);
         if self.seen.get(id).is_some() {
             return false;
@@ -79,7 +79,7 @@
     }
 
     /// Whether an attempt that was sent at `sent` or later has arrived.
-    pub fn status(&self, id: fate::AttemptId, sent: time::NodeTime) -> AttemptStatus {
+    pub fn status(&self, id: outcome::AttemptId, sent: time::NodeTime) -> AttemptStatus {
         match self.seen.get(id) {
             Some(()) => AttemptStatus::Seen,
             None if self.evicted_until.is_some_and(|until| sent <= until) => AttemptStatus::Unknown,
--- a/crates/anvil_core/src/effect.rs
+++ b/crates/anvil_core/src/effect.rs
@@ -22,7 +22,7 @@
     /// Attempts that this node dispatched for the call.
     pub attempts: u16,
     /// The rule that applied.
-    pub rule: treatment::RuleMark,
+    pub rule: treatment::RuleReference,
     /// How long the caller should wait before it retries, if a retry may succeed.
     pub retry_after: Option<Duration>,
     /// The id that the caller gave the request.
@@ -41,7 +41,7 @@
             answer: None,
             request: ident::RequestId(0),
             attempts: 0,
-            rule: treatment::RuleMark::default(),
+            rule: treatment::RuleReference::default(),
             retry_after,
             label,
         }
@@ -188,7 +188,7 @@
         /// Identity of the request.
         id: store::StoreId,
         /// The request.
-        request: store::StoreAsk,
+        request: store::StoreRequest,
     },
     /// Tell callers whether this node is ready for their requests.
     Readiness(bool),
--- a/crates/anvil_core/src/entry.rs
+++ b/crates/anvil_core/src/entry.rs
@@ -6,7 +6,7 @@
 use anvil_overload::{kind, refusal, routing};
 use anvil_rules::destination;
 use anvil_types::{ident, name, treatment, verdict};
-use anvil_wire::{call, fate, frame};
+use anvil_wire::{call, frame, outcome};
 
 use crate::{accounts, calls, effect, event, reducer, request_log, rulebook, settling, timers};
 
@@ -239,7 +239,7 @@
             reply_to,
             context,
             treatment: open.treatment.clone(),
-            mark: open.rule,
+            rule: open.rule,
             account: open.account.name.clone(),
             label: open.label.clone(),
             request: open.request.clone(),
@@ -283,7 +283,7 @@
         };
         let verdict = match open.stage {
             calls::CallStage::Out { .. } => {
-                verdict::CallVerdict::MayHaveRun(verdict::DoubtReason::Deadline)
+                verdict::CallVerdict::MayHaveRun(verdict::UncertaintyReason::Deadline)
             }
             calls::CallStage::Pausing | calls::CallStage::Asking | calls::CallStage::Metering => {
                 not_run(verdict::RefusalReason::Deadline)
@@ -313,7 +313,7 @@
     /// Ends a call that nobody waits for, and cancels its attempt.
     pub(crate) fn abandon_call(&mut self, sequence: u64) {
         self.cancel_attempt(sequence);
-        let verdict = verdict::CallVerdict::MayHaveRun(verdict::DoubtReason::Cancelled);
+        let verdict = verdict::CallVerdict::MayHaveRun(verdict::UncertaintyReason::Cancelled);
         self.end_call(sequence, verdict, None);
     }
 
@@ -344,7 +344,7 @@
 
     /// Whether this attempt is the current one of a call of this node and in flight at `peer`: node,
     /// call, attempt and peer must all match.
-    pub(crate) fn is_awaiting(&self, peer: ident::NodeId, id: fate::AttemptId) -> bool {
+    pub(crate) fn is_awaiting(&self, peer: ident::NodeId, id: outcome::AttemptId) -> bool {
         let open = self.calls.get(id.call.sequence);
         id.call.node == self.config.node
             && open.is_some_and(|open| open.attempts == id.attempt && open.is_in_flight_at(peer))
@@ -364,7 +364,7 @@
         self.suspect_lost_requests(peer, lost);
         for sequence in lost {
             self.attempt_lost(*sequence, peer);
-            let verdict = verdict::CallVerdict::MayHaveRun(verdict::DoubtReason::NodeLost);
+            let verdict = verdict::CallVerdict::MayHaveRun(verdict::UncertaintyReason::NodeLost);
             self.attempt_ended(*sequence, verdict, None);
         }
     }
@@ -373,7 +373,7 @@
         for frame in unsent {
             let call = match frame {
                 frame::PeerFrame::Call(call) => call,
-                frame::PeerFrame::Fate(message) => {
+                frame::PeerFrame::Outcome(message) => {
                     self.outcome_message_unsent(peer, *message);
                     continue;
                 }
--- a/crates/anvil_core/src/keys.rs
+++ b/crates/anvil_core/src/keys.rs
@@ -135,7 +135,7 @@
         let request = key_event::KeyEvent::Request {
             call,
             key,
-            fingerprint: open.context.print,
+            fingerprint: open.context.fingerprint,
             wait: open.deadline.since(self.now).min(MAX_KEY_WAIT),
         };
         self.log_keyed_step(sequence, request_log::KeyedStep::Asked);
@@ -353,24 +353,24 @@
         request: &key_effect::SlotRequest,
     ) {
         let request = match request {
-            key_effect::SlotRequest::Read { slot } => store::StoreAsk::Get {
+            key_effect::SlotRequest::Read { slot } => store::StoreRequest::Get {
                 key: key::slot_key(*slot),
             },
             key_effect::SlotRequest::Swap { expected, view } => {
                 let Ok(value) = key::encode_view(view) else {
                     return;
                 };
-                let at = |version: &u64| store::SwapBase::At(store::StoreVersion(*version));
-                store::StoreAsk::Swap {
+                let at = |version: &u64| store::SwapCondition::At(store::StoreVersion(*version));
+                store::StoreRequest::Swap {
                     key: key::slot_key(view.slot),
-                    base: expected.as_ref().map_or(store::SwapBase::Absent, at),
+                    condition: expected.as_ref().map_or(store::SwapCondition::Absent, at),
                     value: Bytes::from(value),
                     lease: None,
                 }
             }
         };
         let id = store::StoreId {
-            part: store::StorePart::Keys,
+            requester: store::StoreRequester::Keys,
             sequence: id.0,
         };
         self.effects
@@ -422,7 +422,7 @@
             key_event::CallOutcome::Answered(Box::new(answer.clone()))
         }
         (verdict::CallVerdict::Answered, None) => {
-            key_event::CallOutcome::MayHaveRun(verdict::DoubtReason::AnswerCut)
+            key_event::CallOutcome::MayHaveRun(verdict::UncertaintyReason::AnswerCut)
         }
         (verdict::CallVerdict::NotRun(_), _) => key_event::CallOutcome::NotRun,
         (verdict::CallVerdict::MayHaveRun(reason), _) => key_event::CallOutcome::MayHaveRun(reason),
--- a/crates/anvil_core/src/outcome_queries.rs
+++ b/crates/anvil_core/src/outcome_queries.rs
@@ -12,7 +12,7 @@
 
 use anvil_overload::kind;
 use anvil_types::{ident, time, verdict};
-use anvil_wire::{call, fate, frame};
+use anvil_wire::{call, frame, outcome};
 
 use crate::{calls, duplicates, effect, entry, event, reducer, timers};
 
@@ -90,10 +90,10 @@
     fn announce_pending_runs(
         &mut self,
         peer: ident::NodeId,
-        pending: &[(fate::AttemptId, SocketAddr)],
+        pending: &[(outcome::AttemptId, SocketAddr)],
     ) {
         if let Some((_, reply_to)) = pending.first().copied() {
-            let pending: Vec<fate::AttemptId> = pending.iter().map(|(id, _)| *id).collect();
+            let pending: Vec<outcome::AttemptId> = pending.iter().map(|(id, _)| *id).collect();
             self.send_pending(peer, reply_to, &pending);
         }
     }
@@ -101,16 +101,16 @@
     pub(crate) fn outcome_message_arrived(
         &mut self,
         peer: ident::NodeId,
-        message: fate::FateMessage,
+        message: outcome::OutcomeMessage,
     ) {
         match message {
-            fate::FateMessage::Ask { reply_to, attempts } => {
+            outcome::OutcomeMessage::Query { reply_to, attempts } => {
                 self.outcomes_queried(peer, reply_to, &attempts);
             }
-            fate::FateMessage::Held { reply_to, attempts } => {
+            outcome::OutcomeMessage::Pending { reply_to, attempts } => {
                 self.pending_announced(peer, reply_to, &attempts);
             }
-            fate::FateMessage::Leaving { reply_to } => self.peer_leaving(peer, reply_to),
+            outcome::OutcomeMessage::Leaving { reply_to } => self.peer_leaving(peer, reply_to),
         }
     }
 
@@ -118,18 +118,18 @@
     pub(crate) fn outcome_message_unsent(
         &mut self,
         peer: ident::NodeId,
-        message: fate::FateMessage,
+        message: outcome::OutcomeMessage,
     ) {
         match message {
-            fate::FateMessage::Ask { attempts, .. } => {
+            outcome::OutcomeMessage::Query { attempts, .. } => {
                 let queried = attempts.iter().map(|queried| queried.id);
                 let awaited = queried.filter(|id| self.is_awaiting(peer, *id));
                 let in_flight: Vec<u64> = awaited.map(|id| id.call.sequence).collect();
                 self.query_outcomes(peer, &in_flight);
             }
-            fate::FateMessage::Held { attempts, .. } => self.pending_unsent(&attempts),
+            outcome::OutcomeMessage::Pending { attempts, .. } => self.pending_unsent(&attempts),
             // A node that can't be reached waits for nothing.
-            fate::FateMessage::Leaving { .. } => self.shutdown.confirm(peer),
+            outcome::OutcomeMessage::Leaving { .. } => self.shutdown.confirm(peer),
         }
     }
 
@@ -141,7 +141,7 @@
             self.query_outcomes(peer, &in_flight);
             return;
         }
-        let message = fate::FateMessage::Ask {
+        let message = outcome::OutcomeMessage::Query {
             reply_to: self.config.peer_address,
             attempts: Vec::new(),
         };
@@ -152,15 +152,15 @@
         &mut self,
         peer: ident::NodeId,
         to: SocketAddr,
-        message: fate::FateMessage,
+        message: outcome::OutcomeMessage,
     ) {
-        self.send_frame(peer, to, frame::PeerFrame::Fate(Box::new(message)));
+        self.send_frame(peer, to, frame::PeerFrame::Outcome(Box::new(message)));
     }
 
     /// Notifies `peer` that this node is about to exit.
     pub(crate) fn send_leaving(&mut self, peer: ident::NodeId, to: SocketAddr) {
         let reply_to = self.config.peer_address;
-        let message = fate::FateMessage::Leaving { reply_to };
+        let message = outcome::OutcomeMessage::Leaving { reply_to };
         self.send_outcome_message(peer, to, message);
     }
 
@@ -184,8 +184,8 @@
                     self.timers
                         .set(due, timers::TimerKind::OutcomeQuery(sequence));
                     to = Some(address);
-                    queried.push(fate::AskedAttempt {
-                        id: fate::AttemptId { call, attempt },
+                    queried.push(outcome::QueriedAttempt {
+                        id: outcome::AttemptId { call, attempt },
                         age_micros: entry::micros(now.since(open.sent_at)),
                         idempotent: open.treatment.idempotent,
                     });
@@ -194,9 +194,9 @@
             }
         }
         self.counters.fates_asked += queried.len() as u64;
-        for attempts in queried.chunks(fate::MOST_ATTEMPTS) {
+        for attempts in queried.chunks(outcome::MAX_ATTEMPTS) {
             let attempts = attempts.to_vec();
-            let message = fate::FateMessage::Ask { reply_to, attempts };
+            let message = outcome::OutcomeMessage::Query { reply_to, attempts };
             if let Some(to) = to {
                 self.send_outcome_message(peer, to, message);
             }
@@ -233,7 +233,7 @@
         &mut self,
         peer: ident::NodeId,
         reply_to: SocketAddr,
-        pending: &[fate::AttemptId],
+        pending: &[outcome::AttemptId],
     ) {
         for id in pending {
             if self.is_awaiting(peer, *id) {
@@ -249,24 +249,29 @@
     }
 
     /// The attempts for which this node holds runs of `peer`, and the address for answers.
-    fn pending_for(&self, peer: ident::NodeId) -> Vec<(fate::AttemptId, SocketAddr)> {
+    fn pending_for(&self, peer: ident::NodeId) -> Vec<(outcome::AttemptId, SocketAddr)> {
         let runs = self.runs.iter().filter(|(_, run)| run.peer == peer);
         runs.map(|(_, run)| (run.attempt_id(), run.reply_to))
             .collect()
     }
 
-    fn send_pending(&mut self, peer: ident::NodeId, to: SocketAddr, pending: &[fate::AttemptId]) {
+    fn send_pending(
+        &mut self,
+        peer: ident::NodeId,
+        to: SocketAddr,
+        pending: &[outcome::AttemptId],
+    ) {
         let reply_to = self.config.peer_address;
-        for attempts in pending.chunks(fate::MOST_ATTEMPTS) {
+        for attempts in pending.chunks(outcome::MAX_ATTEMPTS) {
             let attempts = attempts.to_vec();
-            let message = fate::FateMessage::Held { reply_to, attempts };
+            let message = outcome::OutcomeMessage::Pending { reply_to, attempts };
             self.send_outcome_message(peer, to, message);
         }
     }
 
     /// Repeats a notice about pending runs that could not be sent. After [`MAX_TRIES`] the runs are
     /// cancelled, because no answer can reach their entry node.
-    fn pending_unsent(&mut self, pending: &[fate::AttemptId]) {
+    fn pending_unsent(&mut self, pending: &[outcome::AttemptId]) {
         let mut retry = Vec::new();
         let mut to = None;
         for id in pending {
@@ -294,7 +299,7 @@
         &mut self,
         peer: ident::NodeId,
         reply_to: SocketAddr,
-        queried: &[fate::AskedAttempt],
+        queried: &[outcome::QueriedAttempt],
     ) {
         self.shutdown.confirm(peer);
         let mut pending = Vec::new();
@@ -340,7 +345,7 @@
     /// An attempt that never arrived is recorded as seen before it is reported as not run. Its frame
     /// may still be unread in the connection that ended, and must not run after the request was sent
     /// elsewhere.
-    fn answer_unknown_attempt(&mut self, queried: &fate::AskedAttempt) -> call::PeerAnswer {
+    fn answer_unknown_attempt(&mut self, queried: &outcome::QueriedAttempt) -> call::PeerAnswer {
         self.counters.fates_unknown += 1;
         // The query may have been in transit for as long as the entry node waits for the answer.
         let age = Duration::from_micros(queried.age_micros) + QUERY_TIMEOUT;
@@ -353,7 +358,7 @@
                 verdict::CallVerdict::NotRun(verdict::RefusalReason::Unreachable)
             }
             duplicates::AttemptStatus::Seen | duplicates::AttemptStatus::Unknown => {
-                verdict::CallVerdict::MayHaveRun(verdict::DoubtReason::ConnectionLost)
+                verdict::CallVerdict::MayHaveRun(verdict::UncertaintyReason::ConnectionLost)
             }
         };
         call::PeerAnswer {
--- a/crates/anvil_core/src/overload.rs
+++ b/crates/anvil_core/src/overload.rs
@@ -102,7 +102,7 @@
         &mut self,
         service: &name::ServiceName,
         context: &context::CallContext,
-        rule: treatment::RuleMark,
+        rule: treatment::RuleReference,
         cause: RefusalCause,
     ) {
         self.overload.refusals.push(refusal::RefusalRecord {
--- a/crates/anvil_core/src/request_log.rs
+++ b/crates/anvil_core/src/request_log.rs
@@ -34,7 +34,7 @@
     /// The lane.
     pub lane: context::LaneHash,
     /// The rule that applied and its revision.
-    pub rule: treatment::RuleMark,
+    pub rule: treatment::RuleReference,
     /// Whether the request ran, as reported to the caller.
     #[serde(serialize_with = "in_words")]
     pub verdict: verdict::CallVerdict,
--- a/crates/anvil_core/src/retrying.rs
+++ b/crates/anvil_core/src/retrying.rs
@@ -43,7 +43,7 @@
             self.counters.calls_unauthenticated += 1;
             return Some(reason);
         }
-        if let Some(limit) = self.quarantine_of(open.context.print) {
+        if let Some(limit) = self.quarantine_of(open.context.fingerprint) {
             self.record_limit(sequence, limit);
             return Some(verdict::RefusalReason::Quarantined);
         }
@@ -87,8 +87,13 @@
         let Some(service) = services.next().cloned() else {
             return;
         };
-        let prints: Vec<(ident::PrintHash, quarantine::CrashRule)> = open
-            .map(|open| (open.context.print, overload::crash_rule(&open.treatment)))
+        let prints: Vec<(ident::RequestFingerprint, quarantine::CrashRule)> = open
+            .map(|open| {
+                (
+                    open.context.fingerprint,
+                    overload::crash_rule(&open.treatment),
+                )
+            })
             .collect();
         let now = self.now;
         let notice = self.overload.poison.peer_lost(now, peer, &service, &prints);
@@ -98,7 +103,9 @@
     /// Clears the suspicion against a request that was answered.
     pub(crate) fn clear_suspicion(&mut self, sequence: u64) {
         if let Some(open) = self.calls.get(sequence) {
-            self.overload.poison.answered(self.now, open.context.print);
+            self.overload
+                .poison
+                .answered(self.now, open.context.fingerprint);
         }
     }
 
@@ -242,7 +249,7 @@
         open: &calls::OpenCall,
         verdict: verdict::CallVerdict,
     ) -> Option<Duration> {
-        let in_progress = verdict::DoubtReason::InProgress;
+        let in_progress = verdict::UncertaintyReason::InProgress;
         if verdict == verdict::CallVerdict::MayHaveRun(in_progress) {
             return Some(keys::IN_PROGRESS_RETRY);
         }
@@ -310,7 +317,11 @@
     }
 
     fn quarantine_remaining(&self, open: &calls::OpenCall) -> Option<Duration> {
-        match self.overload.poison.status(self.now, open.context.print) {
+        match self
+            .overload
+            .poison
+            .status(self.now, open.context.fingerprint)
+        {
             quarantine::PrintStatus::Quarantined { left, .. } => Some(left),
             // The target's node refused it, and this node has not been notified of the crashes.
             quarantine::PrintStatus::Clean | quarantine::PrintStatus::Suspect => {
@@ -378,14 +389,14 @@
                 | verdict::RefusalReason::Unreachable
         ),
         verdict::CallVerdict::MayHaveRun(reason) => match reason {
-            verdict::DoubtReason::ConnectionLost
-            | verdict::DoubtReason::AnswerCut
-            | verdict::DoubtReason::NodeLost
-            | verdict::DoubtReason::Stopped => idempotent,
-            verdict::DoubtReason::Deadline
-            | verdict::DoubtReason::RecordLost
-            | verdict::DoubtReason::Cancelled
-            | verdict::DoubtReason::InProgress => false,
+            verdict::UncertaintyReason::ConnectionLost
+            | verdict::UncertaintyReason::AnswerCut
+            | verdict::UncertaintyReason::NodeLost
+            | verdict::UncertaintyReason::Stopped => idempotent,
+            verdict::UncertaintyReason::Deadline
+            | verdict::UncertaintyReason::RecordLost
+            | verdict::UncertaintyReason::Cancelled
+            | verdict::UncertaintyReason::InProgress => false,
         },
     }
 }
--- a/crates/anvil_core/src/rulebook.rs
+++ b/crates/anvil_core/src/rulebook.rs
@@ -20,7 +20,7 @@
     /// The treatment.
     pub treatment: treatment::RuleTreatment,
     /// The rule that applied, and the revision.
-    pub rule: treatment::RuleMark,
+    pub rule: treatment::RuleReference,
     /// The destination that the rule sets; none if the caller's choice of service applies.
     pub send_to: Option<&'a destination::RuleDestination>,
     /// The rule's name; none if the built-in default applied.
@@ -100,7 +100,7 @@
         let decision = self.matcher.decide(&view::RequestView::of(request));
         BookDecision {
             treatment: decision.treatment,
-            rule: treatment::RuleMark {
+            rule: treatment::RuleReference {
                 revision: self.revision,
                 index: decision.index,
             },
--- a/crates/anvil_core/src/runs.rs
+++ b/crates/anvil_core/src/runs.rs
@@ -2,7 +2,7 @@
 
 use anvil_overload::{allowance, kind};
 use anvil_types::{context, ident, name, sorted, time, treatment};
-use anvil_wire::{call, fate};
+use anvil_wire::{call, outcome};
 
 use crate::{event, request_log, waits};
 
@@ -54,7 +54,7 @@
     /// When the caller stops waiting.
     pub deadline: time::NodeTime,
     /// The rule of the entry node that applied.
-    pub rule: treatment::RuleMark,
+    pub rule: treatment::RuleReference,
     /// The retry allowance that came with the call; the target's own calls draw on it.
     pub allowance: allowance::ChainAllowance,
     /// When it was accepted.
@@ -76,8 +76,8 @@
 
 impl TargetRun {
     /// The attempt that the run belongs to.
-    pub fn attempt_id(&self) -> fate::AttemptId {
-        fate::AttemptId {
+    pub fn attempt_id(&self) -> outcome::AttemptId {
+        outcome::AttemptId {
             call: self.call,
             attempt: self.attempt,
         }
@@ -154,7 +154,7 @@
     }
 
     /// The run of one attempt.
-    pub fn find_by_attempt(&self, id: fate::AttemptId) -> Option<event::RunId> {
+    pub fn find_by_attempt(&self, id: outcome::AttemptId) -> Option<event::RunId> {
         let mut entries = self.runs.iter();
         let found = entries.find(|(_, run)| run.attempt_id() == id);
         found.map(|(id, _)| event::RunId(*id))
--- a/crates/anvil_core/src/stopping.rs
+++ b/crates/anvil_core/src/stopping.rs
@@ -177,7 +177,7 @@
 
 fn verdict_when_stopped(in_flight: bool) -> verdict::CallVerdict {
     if in_flight {
-        verdict::CallVerdict::MayHaveRun(verdict::DoubtReason::Stopped)
+        verdict::CallVerdict::MayHaveRun(verdict::UncertaintyReason::Stopped)
     } else {
         verdict::CallVerdict::NotRun(verdict::RefusalReason::Leaving)
     }
--- a/crates/anvil_membership/src/fleet/proposing.rs
+++ b/crates/anvil_membership/src/fleet/proposing.rs
@@ -1,4 +1,4 @@
-//! Writing an operator's change into the store's log.
+//! Writing an operator's change to the rule log in the store.
 
 use anvil_types::{store, time};
 use anvil_wire::gossip;
@@ -6,22 +6,22 @@
 
 use crate::{effect, fleet, keys, proposal, store_requests};
 
-/// Why a change was not even tried.
+/// Why a change was rejected without an attempt to write it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
 pub enum ProposalRefusal {
     /// Another change is being written through this node.
     #[display("another change is being written through this node; try again")]
     Busy,
-    /// The node has not compared its rules with others yet.
-    #[display("this node has not learned the rules in force yet")]
+    /// The node has not compared its rules with peers or the store yet.
+    #[display("this node has not compared its rules with its peers or the store yet")]
     NotReady,
-    /// The node's settings name no store.
-    #[display("this node's settings name no platform store to keep the rules in")]
+    /// No store is configured.
+    #[display("no platform store is configured to keep the rules in")]
     NoStore,
 }
 
 impl fleet::FleetState {
-    /// Writes a change that follows the revision held; the end comes as
+    /// Starts to write a change that follows the revision held; the outcome is reported as
     /// [`effect::FleetEffect::ProposalEnded`].
     pub fn propose(
         &mut self,
@@ -51,7 +51,7 @@
         Ok(out)
     }
 
-    /// Takes the next step of the open proposal.
+    /// Runs the next step of the open proposal, if it is due.
     pub(super) fn propose_when_due(
         &mut self,
         now: time::NodeTime,
@@ -71,38 +71,39 @@
             .tail()
             .find(|c| c.revision == change.revision);
         if let Some(known) = known.cloned() {
-            self.settle(now, &known, out);
+            self.resolve_proposal(now, &known, out);
             return;
         }
         match (step, change.to_value()) {
             (proposal::ProposalStep::Write, Some(value)) => {
-                let ask = store::StoreAsk::Swap {
+                let request = store::StoreRequest::Swap {
                     key,
-                    base: store::SwapBase::Absent,
+                    condition: store::SwapCondition::Absent,
                     value,
                     lease: None,
                 };
-                self.ask(now, store_requests::RequestPurpose::Propose, ask, out);
+                self.request_store(now, store_requests::RequestPurpose::Propose, request, out);
             }
             (proposal::ProposalStep::Write, None) => {
                 self.end_proposal(proposal::ProposalOutcome::Unavailable, out);
             }
             (proposal::ProposalStep::Read, _) => {
-                self.ask(
+                self.request_store(
                     now,
                     store_requests::RequestPurpose::Resolve,
-                    store::StoreAsk::Get { key },
+                    store::StoreRequest::Get { key },
                     out,
                 );
             }
         }
     }
 
-    /// Takes the outcome of writing the change, or of reading it back.
+    /// Handles the outcome of writing the change, or of reading it back.
     ///
-    /// An answer lost behind the effect must not be told as a failure, and a blind repetition
-    /// could collide with the own change: what stands at the place is read and its id compared.
-    /// Only where nothing stands there is the change written again, still only if absent.
+    /// A write whose response was lost may have taken effect, so it must not be reported as a
+    /// failure, and a retry could conflict with the change itself. Therefore the entry is read and
+    /// its change id compared. The change is written again only if there is no entry, and only if
+    /// it is still absent.
     pub(super) fn on_proposal_answer(
         &mut self,
         now: time::NodeTime,
@@ -113,28 +114,28 @@
             store::StoreOutcome::Done(store::StoreReply::Swapped { .. }) => {
                 let own = self.rules.proposal.as_ref().map(|p| p.change.clone());
                 if let Some(own) = own {
-                    self.settle(now, &own, out);
+                    self.resolve_proposal(now, &own, out);
                 }
             }
             store::StoreOutcome::Done(store::StoreReply::Entry(None)) => {
-                self.next_step(now, proposal::ProposalStep::Write, out);
+                self.schedule_step(now, proposal::ProposalStep::Write, out);
             }
             store::StoreOutcome::Done(store::StoreReply::Entry(Some(entry)))
             | store::StoreOutcome::Conflict {
                 current: Some(entry),
             } => match gossip::LoggedChange::from_value(&entry.value) {
-                Some(found) => self.settle(now, &found, out),
+                Some(found) => self.resolve_proposal(now, &found, out),
                 None => self.end_proposal(proposal::ProposalOutcome::Unknown, out),
             },
             store::StoreOutcome::Unavailable => self.proposal_unavailable(now, out),
             store::StoreOutcome::Conflict { current: None }
             | store::StoreOutcome::Done(_)
-            | store::StoreOutcome::HistoryLost
+            | store::StoreOutcome::HistoryTrimmed
             | store::StoreOutcome::Unknown => {
                 if let Some(open) = &mut self.rules.proposal {
                     open.uncertain = true;
                 }
-                self.next_step(now, proposal::ProposalStep::Read, out);
+                self.schedule_step(now, proposal::ProposalStep::Read, out);
             }
         }
     }
@@ -144,15 +145,15 @@
             return;
         };
         if open.uncertain {
-            self.next_step(now, proposal::ProposalStep::Read, out);
+            self.schedule_step(now, proposal::ProposalStep::Read, out);
         } else if open.backoff.failures() >= proposal::UNAVAILABLE_LIMIT {
             self.end_proposal(proposal::ProposalOutcome::Unavailable, out);
         } else {
-            self.next_step(now, proposal::ProposalStep::Write, out);
+            self.schedule_step(now, proposal::ProposalStep::Write, out);
         }
     }
 
-    fn next_step(
+    fn schedule_step(
         &mut self,
         now: time::NodeTime,
         step: proposal::ProposalStep,
@@ -163,20 +164,20 @@
             return;
         };
         if now >= open.deadline {
-            let end = if open.uncertain {
+            let outcome = if open.uncertain {
                 proposal::ProposalOutcome::Unknown
             } else {
                 proposal::ProposalOutcome::Unavailable
             };
-            self.end_proposal(end, out);
+            self.end_proposal(outcome, out);
             return;
         }
         let pause = open.backoff.next_pause(draw);
         open.next = Some((now + pause, step));
     }
 
-    /// Compares what stands in the log with the own change.
-    fn settle(
+    /// Compares the log entry of the revision with the proposed change, and ends the proposal.
+    fn resolve_proposal(
         &mut self,
         now: time::NodeTime,
         found: &gossip::LoggedChange,
@@ -186,13 +187,13 @@
             return;
         };
         let accepted = open.change.change == found.change;
-        let gap = self.take_changes(std::slice::from_ref(found), out);
+        let gap = self.apply_changes(std::slice::from_ref(found), out);
         if gap {
             self.read_log_soon(now);
         }
         if accepted {
-            // The operator is told only once the change is on its way to others.
-            self.push_rumour(out);
+            // The change is sent to peers before the operator is notified.
+            self.send_rumour(out);
             self.end_proposal(proposal::ProposalOutcome::Accepted, out);
         } else {
             let other = found.clone();
--- a/crates/anvil_membership/src/fleet/sending.rs
+++ b/crates/anvil_membership/src/fleet/sending.rs
@@ -1,4 +1,4 @@
-//! What goes out: claims on rumours and probes, and the head of every message.
+//! Sending datagrams: rumours, piggybacked claims, and the head of every message.
 
 use std::net::SocketAddr;
 
@@ -8,7 +8,7 @@
 use crate::{effect, fleet, member};
 
 impl fleet::FleetState {
-    /// Puts the local node's facts into the table under its present incarnation.
+    /// Inserts the local node's facts into the table with its current incarnation, and relays them.
     pub(super) fn announce(&mut self, facts: gossip::MemberFacts, now: time::NodeTime) {
         let record = member::MemberRecord {
             node: self.local,
@@ -25,16 +25,17 @@
         self.relay(self.local);
     }
 
-    /// Lets the present claim about `node` ride on datagrams and on the next rumour.
+    /// Queues the current claim about `node` for piggybacking, and requests a rumour.
     pub(super) fn relay(&mut self, node: ident::NodeId) {
-        let ends = |r: &member::MemberRecord| !r.state.is_live() || r.facts.leaving;
-        let urgent = self.table.get(node).is_some_and(ends);
+        let is_urgent = |r: &member::MemberRecord| !r.state.is_live() || r.facts.leaving;
+        let urgent = self.table.get(node).is_some_and(is_urgent);
         self.relay_claim(node, urgent);
     }
 
-    /// The same, ahead of others where it is `urgent`: ends, leavings and refutations.
+    /// Like [`Self::relay`], but ahead of other claims if `urgent`: for departures, leaving members
+    /// and refutations.
     pub(super) fn relay_claim(&mut self, node: ident::NodeId, urgent: bool) {
-        if !self.repeating && node != self.local {
+        if !self.relaying && node != self.local {
             return;
         }
         let doublings = self.table.live().max(1).ilog2() + 1;
@@ -42,27 +43,31 @@
         let relays = u8::try_from(relays).unwrap_or(u8::MAX);
         self.relays.push(&mut self.table, node, relays, urgent);
         if urgent {
-            self.pushing.request_urgent();
+            self.rumours.request_urgent();
         } else {
-            self.pushing.request();
+            self.rumours.request();
         }
     }
 
-    /// Sends a rumour where something changed and the budget allows one.
-    pub(super) fn push_now(&mut self, now: time::NodeTime, out: &mut Vec<effect::FleetEffect>) {
-        if self.pushing.try_take(&self.config, now) {
-            self.push_rumour(out);
+    /// Sends a rumour if one is requested and within the budget.
+    pub(super) fn send_rumour_if_due(
+        &mut self,
+        now: time::NodeTime,
+        out: &mut Vec<effect::FleetEffect>,
+    ) {
+        if self.rumours.try_take(&self.config, now) {
+            self.send_rumour(out);
         }
     }
 
-    pub(super) fn push_rumour(&mut self, out: &mut Vec<effect::FleetEffect>) {
+    pub(super) fn send_rumour(&mut self, out: &mut Vec<effect::FleetEffect>) {
         let updates = self.take_updates(self.config.rumour_bytes);
-        let mut told = vec![self.local];
+        let mut chosen = vec![self.local];
         for _ in 0..self.config.fanout {
-            let Some(peer) = self.table.draw_live(&mut self.choice, &told) else {
+            let Some(peer) = self.table.draw_live(&mut self.choice, &chosen) else {
                 break;
             };
-            told.push(peer.node);
+            chosen.push(peer.node);
             let to = peer.facts.udp;
             let kind = gossip::GossipKind::Rumour;
             self.send(to, kind, updates.clone(), out);
@@ -86,12 +91,12 @@
         out.push(self.datagram(to, kind, updates));
     }
 
-    /// A datagram of another state module, which tells of this node like any other.
+    /// A datagram for another part of the node, with the head of this node.
     pub fn message(&mut self, to: SocketAddr, kind: gossip::GossipKind) -> effect::FleetEffect {
         self.datagram(to, kind, Vec::new())
     }
 
-    /// The same with what this node says of itself, for a receiver that may not have heard it.
+    /// Like [`Self::message`], with the claim about this node, for a receiver that may not know it.
     pub fn message_with_claim(
         &mut self,
         to: SocketAddr,
--- a/crates/anvil_membership/src/fleet/snapshots.rs
+++ b/crates/anvil_membership/src/fleet/snapshots.rs
@@ -6,11 +6,11 @@
 
 use crate::{effect, fleet, keys, snapshot, spread, store_requests};
 
-/// Entries of the log removed in one go.
+/// Maximum number of log entries removed per list request.
 const TRIM_LIMIT: u32 = 128;
 
 impl fleet::FleetState {
-    /// Writes a snapshot where the log has grown long, one step at a time.
+    /// Starts to write a snapshot if the log has grown enough, and runs the step that is due.
     pub(super) fn snapshot_when_due(
         &mut self,
         now: time::NodeTime,
@@ -22,7 +22,7 @@
             }
             self.snapshot.open = Some(snapshot::SnapshotWrite {
                 step: snapshot::SnapshotStep::Check,
-                base: store::SwapBase::Absent,
+                base: store::SwapCondition::Absent,
                 manifest: None,
                 body: Bytes::new(),
             });
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Begins to write the chunks of `snapshot`.
+    /// Starts to write the chunks of `snapshot`.
     pub(super) fn begin_chunks(
         &mut self,
         now: time::NodeTime,
@@ -56,7 +56,7 @@
         self.snapshot_step(now, out);
     }
 
-    /// Takes the outcome of one step.
+    /// Handles the outcome of one step.
     pub(super) fn on_snapshot_answer(
         &mut self,
         now: time::NodeTime,
@@ -69,12 +69,12 @@
         let failed = matches!(
             outcome,
             store::StoreOutcome::Unavailable
-                | store::StoreOutcome::HistoryLost
+                | store::StoreOutcome::HistoryTrimmed
                 | store::StoreOutcome::Unknown
         );
         if failed {
             let pause = self.snapshot.backoff.next_pause(self.choice.any());
-            // A manifest whose answer was lost is looked at before anything else is done.
+            // If the response to the manifest's write was lost, the manifest is read first.
             let step = match open.step {
                 snapshot::SnapshotStep::Publish => snapshot::SnapshotStep::Check,
                 step => step,
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Takes the manifest of a snapshot that is to be read.
+    /// Handles the manifest of a snapshot that is to be read.
     pub(super) fn on_manifest(
         &mut self,
         now: time::NodeTime,
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Takes one chunk of the snapshot that is being read.
+    /// Handles one chunk of the snapshot that is being read.
     pub(super) fn on_chunk(
         &mut self,
         now: time::NodeTime,
@@ -129,7 +129,7 @@
         let (Some(mut load), store::StoreOutcome::Done(store::StoreReply::Entry(Some(entry)))) =
             (self.rules.load.take(), outcome)
         else {
-            // Replaced by a newer snapshot meanwhile, or the store failed: begin again.
+            // The snapshot was replaced by a newer one, or the store failed: start again.
             self.load_failed(now);
             return;
         };
@@ -145,7 +145,7 @@
             change: load.manifest.change,
             body: Bytes::from(load.body),
         };
-        self.take_snapshot(&snapshot, out);
+        self.apply_snapshot(&snapshot, out);
         self.rules.read_at = Some(now);
     }
 
@@ -155,10 +155,10 @@
         };
         let manifest = load.manifest;
         let key = keys::chunk(manifest.revision, manifest.writer, load.next);
-        self.ask(
+        self.request_store(
             now,
             store_requests::RequestPurpose::ReadChunk,
-            store::StoreAsk::Get { key },
+            store::StoreRequest::Get { key },
             out,
         );
     }
@@ -170,20 +170,21 @@
         self.rules.read_at = Some(now + pause);
     }
 
-    /// Sets the revision of the next snapshot; random, so that seldom two nodes write the same.
+    /// Sets the revision of the next snapshot, with a random offset so that two nodes seldom write
+    /// one at the same revision.
     fn schedule_snapshot(&mut self) {
-        let spread = self.choice.below(spread::SNAPSHOT_EVERY as usize / 2) as u64;
+        let jitter = self.choice.below(spread::SNAPSHOT_EVERY as usize / 2) as u64;
         let held = self.revision().0;
         self.snapshot.next_revision =
-            ident::RuleRevision(held.saturating_add(spread::SNAPSHOT_EVERY + spread));
+            ident::RuleRevision(held.saturating_add(spread::SNAPSHOT_EVERY + jitter));
     }
 
     fn snapshot_step(&mut self, now: time::NodeTime, out: &mut Vec<effect::FleetEffect>) {
         let Some(open) = &self.snapshot.open else {
             return;
         };
-        let ask = match &open.step {
-            snapshot::SnapshotStep::Check => store::StoreAsk::Get {
+        let request = match &open.step {
+            snapshot::SnapshotStep::Check => store::StoreRequest::Get {
                 key: store::StoreKey::new(keys::MANIFEST),
             },
             snapshot::SnapshotStep::Encode => {
@@ -191,28 +192,28 @@
                 out.push(effect::FleetEffect::EncodeSnapshot { destination });
                 return;
             }
-            snapshot::SnapshotStep::Chunk { next } => match chunk_ask(open, *next) {
-                Some(ask) => ask,
+            snapshot::SnapshotStep::Chunk { next } => match chunk_request(open, *next) {
+                Some(request) => request,
                 None => return,
             },
-            snapshot::SnapshotStep::Publish => match publish_ask(open) {
-                Some(ask) => ask,
+            snapshot::SnapshotStep::Publish => match publish_request(open) {
+                Some(request) => request,
                 None => return,
             },
-            snapshot::SnapshotStep::ListLog => list_ask(keys::LOG, None, TRIM_LIMIT),
-            // One at a time, since each brings its whole value.
+            snapshot::SnapshotStep::ListLog => list_request(keys::LOG, None, TRIM_LIMIT),
+            // One chunk per request, since the response contains its value.
             snapshot::SnapshotStep::ListChunks { after } => {
-                list_ask(keys::SNAPSHOTS, after.clone(), 1)
+                list_request(keys::SNAPSHOTS, after.clone(), 1)
             }
-            snapshot::SnapshotStep::Remove { entry, version, .. } => store::StoreAsk::Remove {
+            snapshot::SnapshotStep::Remove { entry, version, .. } => store::StoreRequest::Remove {
                 key: entry.clone(),
                 version: *version,
             },
         };
-        self.ask(now, store_requests::RequestPurpose::Snapshot, ask, out);
+        self.request_store(now, store_requests::RequestPurpose::Snapshot, request, out);
     }
 
-    /// The write with its next step; none where it is done with.
+    /// The write with its next step, or none if it is complete or abandoned.
     fn after_step(
         &self,
         mut open: snapshot::SnapshotWrite,
@@ -224,7 +225,7 @@
                 store::StoreOutcome::Done(store::StoreReply::Entry(found)),
             ) => self.after_check(&mut open, found)?,
             (snapshot::SnapshotStep::Chunk { next }, _) => {
-                // A chunk that stands there already was written before a lost answer.
+                // On a conflict, the chunk was written earlier and its response was lost.
                 let last = open.manifest.is_none_or(|m| next + 1 >= m.chunks);
                 if last {
                     snapshot::SnapshotStep::Publish
@@ -256,10 +257,10 @@
         found: Option<store::StoreEntry>,
     ) -> Option<snapshot::SnapshotStep> {
         let Some(entry) = found else {
-            open.base = store::SwapBase::Absent;
+            open.base = store::SwapCondition::Absent;
             return Some(snapshot::SnapshotStep::Encode);
         };
-        open.base = store::SwapBase::At(entry.version);
+        open.base = store::SwapCondition::At(entry.version);
         let current = gossip::SnapshotManifest::from_value(&entry.value)?;
         if open.manifest == Some(current) {
             return Some(snapshot::SnapshotStep::ListLog);
@@ -270,65 +271,65 @@
     }
 }
 
-fn chunk_ask(open: &snapshot::SnapshotWrite, next: u32) -> Option<store::StoreAsk> {
+fn chunk_request(open: &snapshot::SnapshotWrite, next: u32) -> Option<store::StoreRequest> {
     let manifest = open.manifest?;
     let start = next as usize * spread::CHUNK_BYTES;
     let end = (start + spread::CHUNK_BYTES).min(open.body.len());
-    Some(store::StoreAsk::Swap {
+    Some(store::StoreRequest::Swap {
         key: keys::chunk(manifest.revision, manifest.writer, next),
-        base: store::SwapBase::Absent,
+        condition: store::SwapCondition::Absent,
         value: open.body.slice(start.min(end)..end),
         lease: None,
     })
 }
 
-fn publish_ask(open: &snapshot::SnapshotWrite) -> Option<store::StoreAsk> {
-    Some(store::StoreAsk::Swap {
+fn publish_request(open: &snapshot::SnapshotWrite) -> Option<store::StoreRequest> {
+    Some(store::StoreRequest::Swap {
         key: store::StoreKey::new(keys::MANIFEST),
-        base: open.base,
+        condition: open.base,
         value: open.manifest?.to_value()?,
         lease: None,
     })
 }
 
-fn list_ask(prefix: &str, after: Option<store::StoreKey>, limit: u32) -> store::StoreAsk {
-    store::StoreAsk::List {
+fn list_request(prefix: &str, after: Option<store::StoreKey>, limit: u32) -> store::StoreRequest {
+    store::StoreRequest::List {
         prefix: store::StoreKey::new(prefix),
         after,
         limit,
     }
 }
 
-/// Removes the entries of the log that lie well behind the snapshot, then looks at the chunks.
+/// Removes the log entries that are older than the retained ones, then lists the chunks.
 fn trim_step(
     open: &snapshot::SnapshotWrite,
     entries: &[store::StoreEntry],
 ) -> snapshot::SnapshotStep {
-    let sweep = snapshot::SnapshotStep::ListChunks { after: None };
+    let list_chunks = snapshot::SnapshotStep::ListChunks { after: None };
     let Some(manifest) = open.manifest else {
-        return sweep;
+        return list_chunks;
     };
-    let kept_from = manifest
+    let retained_from = manifest
         .revision
         .0
         .saturating_sub(spread::RETAINED_LOG_CHANGES);
-    let limit = keys::log_entry(ident::RuleRevision(kept_from));
+    let limit = keys::log_entry(ident::RuleRevision(retained_from));
     let old = entries.iter().filter(|entry| entry.key < limit);
     let old: Vec<_> = old.map(|e| (e.key.clone(), e.version)).collect();
     let then = if old.len() < TRIM_LIMIT as usize {
-        sweep
+        list_chunks
     } else {
         snapshot::SnapshotStep::ListLog
     };
     remove_step(old, then)
 }
 
-/// Removes a chunk that belongs to no snapshot at or behind the present one, then looks on.
+/// Removes a chunk of an older snapshot, then lists the next chunk.
 fn sweep_step(open: &snapshot::SnapshotWrite, entry: &store::StoreEntry) -> snapshot::SnapshotStep {
     let after = Some(entry.key.clone());
     let then = snapshot::SnapshotStep::ListChunks { after };
     let own = open.manifest.map(|m| keys::chunk(m.revision, m.writer, 0));
-    // Keys sort by revision; a writer that is still busy with a newer one is left alone.
+    // Keys sort by revision; chunks of a newer snapshot that is still being written are kept.
     let older = own.is_some_and(|own| entry.key < own);
     if older {
         return remove_step(vec![(entry.key.clone(), entry.version)], then);
