--- a/crates/anvil_core/src/admitting.rs
+++ b/crates/anvil_core/src/admitting.rs
@@ -56,9 +56,9 @@
 
     pub(crate) fn quarantine_of(
         &self,
-        print: ident::RequestFingerprint,
+        fingerprint: ident::RequestFingerprint,
     ) -> Option<refusal::RefusalLimit> {
-        match self.overload.poison.status(self.now, print) {
+        match self.overload.poison.status(self.now, fingerprint) {
             quarantine::PrintStatus::Quarantined { seen, allowed, .. } => {
                 Some(refusal::RefusalLimit::Crashes { seen, allowed })
             }
@@ -248,12 +248,12 @@
             idempotent: run.context.idempotent,
             timeout,
         };
-        let (print, rule) = (
+        let (fingerprint, rule) = (
             run.context.fingerprint,
             overload::crash_rule(&run.treatment),
         );
         let keyed = run.keyed_record(id);
-        self.overload.poison.run_started(id.0, print, rule);
+        self.overload.poison.run_started(id.0, fingerprint, rule);
         self.counters.runs_started += 1;
         self.effects
             .push(effect::NodeEffect::RunTarget(Box::new(order)));
