--- a/crates/anvil_core/tests/keyed_storms.rs
+++ b/crates/anvil_core/tests/keyed_storms.rs
@@ -14,7 +14,7 @@
 /// Nodes of a storm: enough for each slot's owner and backup, and a third node that may take it
 /// over.
 const NODES: usize = 5;
-/// Steps of a storm.
+/// Number of steps in a storm.
 const STEPS: usize = 400;
 /// Nodes that keep running in the storms of odd seeds. In those of even seeds all nodes may stop at
 /// once, after which no key can be granted for the retention time of its record.
--- a/crates/anvil_core/tests/platform_hardships.rs
+++ b/crates/anvil_core/tests/platform_hardships.rs
@@ -249,7 +249,8 @@
 #[test]
 fn a_call_inherits_from_the_request_that_its_id_names() {
     // A claim's target makes a lookup under an id derived from the claim's. The lookup must belong
-    // to the claim's root request although it carries no parent token.
+    // to the claim's root request, so that it has the claim's class and ends with it, although it
+    // carries no parent token.
     let mut node = support::target_node(4);
     let mut claim = support::peer_call(7, false);
     let event::NodeEvent::FrameArrived {
--- a/crates/anvil_core/tests/silent_stops.rs
+++ b/crates/anvil_core/tests/silent_stops.rs
@@ -23,7 +23,7 @@
 /// Time after which an entry node closes a silent connection on which answers are due.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(750);
 
-/// A stop that takes a second, or until all calls in flight have ended.
+/// A stop that lasts a second, or until all calls in flight have ended.
 const PLAN: stopping::StopPlan = stopping::StopPlan {
     linger: Duration::from_millis(1_000),
     run_linger: Duration::ZERO,
--- a/crates/anvil_standins/src/http_target.rs
+++ b/crates/anvil_standins/src/http_target.rs
@@ -35,9 +35,9 @@
 /// Error that breaks a connection on purpose.
 #[derive(Clone, Copy, Debug, Display, derive_more::Error)]
 #[display("the target closed the connection on purpose")]
-pub struct BreakOff;
+pub struct ConnectionAborted;
 
-type AnswerBody = UnsyncBoxBody<Bytes, BreakOff>;
+type AnswerBody = UnsyncBoxBody<Bytes, ConnectionAborted>;
 
 /// One request as the target received it.
 #[derive(Clone, Debug)]
@@ -178,13 +178,17 @@
 async fn respond(
     record: Arc<TargetRecord>,
     request: Request<Incoming>,
-) -> Result<Response<AnswerBody>, BreakOff> {
+) -> Result<Response<AnswerBody>, ConnectionAborted> {
     let (head, body) = request.into_parts();
     let mut guard = AbandonGuard {
         record: record.clone(),
         waiting: true,
     };
-    let body = body.collect().await.map_err(|_| BreakOff)?.to_bytes();
+    let body = body
+        .collect()
+        .await
+        .map_err(|_| ConnectionAborted)?
+        .to_bytes();
     let head = Arc::new(head);
     if record.recording {
         let seen = SeenRequest {
@@ -199,7 +203,7 @@
     answer
 }
 
-async fn answer(path: &str, body: Bytes) -> Result<Response<AnswerBody>, BreakOff> {
+async fn answer(path: &str, body: Bytes) -> Result<Response<AnswerBody>, ConnectionAborted> {
     let (behaviour, argument) = path
         .trim_start_matches('/')
         .split_once('/')
@@ -216,7 +220,7 @@
             refusal.headers_mut().insert("anvil-not-run", not_run);
             Ok(refusal)
         }
-        "drop" => Err(BreakOff),
+        "drop" => Err(ConnectionAborted),
         "cut" => Ok(Response::new(truncated().await)),
         "chunked" => Ok(Response::new(chunked(&body).await)),
         "bytes" => {
@@ -243,7 +247,7 @@
     response
 }
 
-fn never(never: Infallible) -> BreakOff {
+fn never(never: Infallible) -> ConnectionAborted {
     match never {}
 }
 
@@ -266,28 +270,28 @@
     tokio::spawn(async move {
         // The first half must be sent before the connection breaks.
         tokio::time::sleep(Duration::from_millis(20)).await;
-        let _ = sender.send(Err(BreakOff)).await;
+        let _ = sender.send(Err(ConnectionAborted)).await;
     });
     stream(receiver)
 }
 
-fn stream(receiver: mpsc::Receiver<Result<Frame<Bytes>, BreakOff>>) -> AnswerBody {
+fn stream(receiver: mpsc::Receiver<Result<Frame<Bytes>, ConnectionAborted>>) -> AnswerBody {
     ChannelBody { receiver }.boxed_unsync()
 }
 
 /// A body whose frames come from a channel.
 struct ChannelBody {
-    receiver: mpsc::Receiver<Result<Frame<Bytes>, BreakOff>>,
+    receiver: mpsc::Receiver<Result<Frame<Bytes>, ConnectionAborted>>,
 }
 
 impl Body for ChannelBody {
     type Data = Bytes;
-    type Error = BreakOff;
+    type Error = ConnectionAborted;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BreakOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, ConnectionAborted>>> {
         self.receiver.poll_recv(context)
     }
 }
