--- a/crates/anvil_membership/examples/capacity/fed.rs
+++ b/crates/anvil_membership/examples/capacity/fed.rs
@@ -61,8 +61,8 @@
     /// Prints the rates and the processor time.
     pub(crate) fn print(&self) {
         let seconds = self.span.as_secs_f64();
-        for (place, kind) in KINDS.iter().enumerate() {
-            let (sent, received) = (self.sent[place], self.received[place]);
+        for (index, kind) in KINDS.iter().enumerate() {
+            let (sent, received) = (self.sent[index], self.received[index]);
             if sent.0 + received.0 > 0 {
                 println!(
                     "  {kind}: sent {:.2}/s {:.0} B/s, received {:.2}/s {:.0} B/s",
@@ -351,8 +351,8 @@
         };
         self.schedule(50, Inbound::Sync(receiver, answer));
         let mut theirs = sums.clone();
-        for place in differing {
-            theirs[place as usize] ^= 1;
+        for index in differing {
+            theirs[index as usize] ^= 1;
         }
         let other = self.random_live();
         let sums = theirs;
@@ -431,7 +431,7 @@
 }
 
 fn count(sums: &mut [(u64, u64); 9], message: &gossip::GossipMessage) -> u64 {
-    let place = match message.kind {
+    let index = match message.kind {
         gossip::GossipKind::Ping { .. } => 0,
         gossip::GossipKind::Ack { .. } => 1,
         gossip::GossipKind::Nack { .. } | gossip::GossipKind::PingRequest { .. } => 2,
@@ -442,16 +442,16 @@
     };
     let bytes = postcard::to_stdvec(message).map_or(0, |bytes| bytes.len());
     let bytes = (bytes + datagram::OVERHEAD_BYTES + UDP_BYTES) as u64;
-    add(&mut sums[place], bytes)
+    add(&mut sums[index], bytes)
 }
 
 fn count_sync(sums: &mut [(u64, u64); 9], message: &gossip::SyncMessage) -> u64 {
-    let place = match message {
+    let index = match message {
         gossip::SyncMessage::Digest { .. } => 7,
         _ => 8,
     };
     let bytes = postcard::to_stdvec(message).map_or(0, |bytes| bytes.len());
-    add(&mut sums[place], (bytes + TCP_BYTES) as u64)
+    add(&mut sums[index], (bytes + TCP_BYTES) as u64)
 }
 
 fn add(sum: &mut (u64, u64), bytes: u64) -> u64 {
--- a/crates/anvil_membership/src/fleet.rs
+++ b/crates/anvil_membership/src/fleet.rs
@@ -195,7 +195,7 @@
     /// store; must be called before the first event.
     ///
     /// Such fleets have at most a few hundred nodes, so each node reads the key itself and searches
-    /// for its peers right away.
+    /// for its peers immediately.
     pub fn use_document(&mut self, now: time::NodeTime, key: store::StoreKey) {
         self.use_store(now);
         self.config.document = Some(key);
--- a/crates/anvil_membership/src/fleet/claims.rs
+++ b/crates/anvil_membership/src/fleet/claims.rs
@@ -32,20 +32,20 @@
     /// The current claim about `node`, if it is known.
     pub(super) fn claim(&self, node: ident::NodeId) -> Option<gossip::MemberUpdate> {
         let record = self.table.get(node)?;
-        let standing = match record.state {
+        let status = match record.state {
             member::MemberState::Alive => {
                 gossip::MemberStatus::Alive(Box::new(record.facts.clone()))
             }
             member::MemberState::Suspect => gossip::MemberStatus::Suspect {
                 by: self.latest_accuser(node),
             },
-            member::MemberState::Gone => gossip::MemberStatus::Dead,
+            member::MemberState::Dead => gossip::MemberStatus::Dead,
             member::MemberState::Left => gossip::MemberStatus::Left,
         };
         Some(gossip::MemberUpdate {
             node,
             incarnation: record.incarnation,
-            status: standing,
+            status,
         })
     }
 
@@ -127,7 +127,7 @@
         let state = match reason {
             effect::DepartureReason::Left => member::MemberState::Left,
             effect::DepartureReason::Crashed | effect::DepartureReason::Replaced => {
-                member::MemberState::Gone
+                member::MemberState::Dead
             }
         };
         self.table.set_state(node, (record.incarnation, state), now);
--- a/crates/anvil_membership/src/fleet/comparison.rs
+++ b/crates/anvil_membership/src/fleet/comparison.rs
@@ -19,7 +19,7 @@
     /// Ready peers that already sent messages, such as the contacts or seeds that it joined
     /// through, are chosen last, since many nodes that start together would all choose the same
     /// ones.
-    pub(super) fn comparison_partner(&mut self) -> Option<ident::NodeId> {
+    pub(super) fn comparison_peer(&mut self) -> Option<ident::NodeId> {
         let mut except = self.roster.starting_peers().to_vec();
         except.push(self.local);
         except.extend(&self.rules.ready_peers);
@@ -35,14 +35,14 @@
 
     /// The claim about itself that a starting node sends with a digest; a peer that does not know
     /// the node yet would have no address to reply to.
-    pub(super) fn introduction(&self) -> Vec<gossip::MemberUpdate> {
+    pub(super) fn starting_claim(&self) -> Vec<gossip::MemberUpdate> {
         if self.roster.is_compared() {
             return Vec::new();
         }
         self.claim(self.local).into_iter().collect()
     }
 
-    /// Handles that this node now knows all members that the sender of `head` knows.
+    /// Records that this node now knows all members that the sender of `head` knows.
     pub(super) fn on_members_compared(
         &mut self,
         now: time::NodeTime,
--- a/crates/anvil_membership/src/fleet/contacts.rs
+++ b/crates/anvil_membership/src/fleet/contacts.rs
@@ -33,7 +33,7 @@
     }
 
     /// Handles the outcome of a request about contacts.
-    pub(super) fn on_contact_answer(
+    pub(super) fn on_contact_outcome(
         &mut self,
         now: time::NodeTime,
         purpose: store_requests::RequestPurpose,
@@ -122,7 +122,7 @@
         let mut unknown: Vec<_> = decoded
             .filter(|contact| {
                 let known = self.table.get(contact.node);
-                known.is_none_or(|record| record.state == member::MemberState::Gone)
+                known.is_none_or(|record| record.state == member::MemberState::Dead)
             })
             .collect();
         self.choice.shuffle(&mut unknown);
@@ -246,7 +246,7 @@
         now: time::NodeTime,
         slot: u8,
         lease: store::LeaseId,
-        base: store::SwapCondition,
+        condition: store::SwapCondition,
         out: &mut Vec<effect::FleetEffect>,
     ) {
         let entry = gossip::ContactEntry {
@@ -258,7 +258,7 @@
         };
         let request = store::StoreRequest::Swap {
             key: keys::contact(&self.zone, slot),
-            condition: base,
+            condition,
             value,
             lease: Some(lease),
         };
@@ -296,9 +296,9 @@
     /// Joins through the holder of a slot that this node tried to claim, since it may belong to an
     /// unknown part of the fleet.
     ///
-    /// If another program writes to the contact keys without a lease, every slot looks taken for
-    /// ever and no starting node finds the fleet. A value that cannot be decoded names no node, so
-    /// it is replaced, on the condition that it has not changed since it was read.
+    /// If another program writes to the contact keys without a lease, every slot stays occupied
+    /// and no starting node finds the fleet. A value that cannot be decoded names no node, so it is
+    /// replaced, on the condition that it has not changed since it was read.
     fn on_slot_conflict(
         &mut self,
         now: time::NodeTime,
@@ -314,8 +314,8 @@
             Some(entry) if entry.node != self.local => self.join_through(entry.udp, out),
             Some(_) => {}
             None => {
-                let base = store::SwapCondition::At(current.version);
-                self.claim_slot(now, slot, lease, base, out);
+                let condition = store::SwapCondition::At(current.version);
+                self.claim_slot(now, slot, lease, condition, out);
             }
         }
     }
@@ -325,12 +325,12 @@
     /// After a pause of this process, another node may hold the slot by now. If the store lost the
     /// lease, the slot is vacant.
     fn on_lease_lapsed(&mut self, now: time::NodeTime, out: &mut Vec<effect::FleetEffect>) {
-        let former = self.contacts.held.take();
+        let lapsed = self.contacts.held.take();
         self.announce_slot(now, None);
         out.push(effect::FleetEffect::Report(
             effect::FleetReport::ContactLapsed,
         ));
-        if let Some(slot) = former.map(|held| held.slot).filter(|_| !self.is_leaving()) {
+        if let Some(slot) = lapsed.map(|held| held.slot).filter(|_| !self.is_leaving()) {
             self.request_slot_lease(now, slot, out);
         }
     }
--- a/crates/anvil_membership/src/fleet/counting.rs
+++ b/crates/anvil_membership/src/fleet/counting.rs
@@ -20,7 +20,7 @@
             return out;
         }
         let count = gossip::CensusCount::default();
-        let whole = (ident::NodeId(0), ident::NodeId(u64::MAX));
+        let all_nodes = (ident::NodeId(0), ident::NodeId(u64::MAX));
         let revision = self.revision();
         let requester = census::CensusRequester::Operator;
         self.begin_census(
@@ -28,7 +28,7 @@
             requester,
             revision,
             count,
-            whole,
+            all_nodes,
             census::TIMEOUT,
             &mut out,
         );
@@ -163,8 +163,8 @@
             .enumerate()
             .filter(|(_, p)| !p.answered)
         {
-            let former = part.counter;
-            let candidates = part.members.iter().filter(|node| **node != former);
+            let previous = part.counter;
+            let candidates = part.members.iter().filter(|node| **node != previous);
             let candidates: Vec<_> = candidates.copied().collect();
             let (Some(first), Some(last)) = (part.members.first(), part.members.last()) else {
                 continue;
@@ -194,15 +194,17 @@
         out: &mut Vec<effect::FleetEffect>,
     ) {
         let index = self.census.open.iter().position(|open| {
-            let part = number.wrapping_sub(open.number) as usize;
-            open.parts.get(part).is_some_and(|part| !part.answered)
+            let part_index = number.wrapping_sub(open.number) as usize;
+            open.parts
+                .get(part_index)
+                .is_some_and(|part| !part.answered)
         });
         let Some(index) = index else {
             return;
         };
         let open = &mut self.census.open[index];
-        let part = number.wrapping_sub(open.number) as usize;
-        open.parts[part].answered = true;
+        let part_index = number.wrapping_sub(open.number) as usize;
+        open.parts[part_index].answered = true;
         open.add(count);
         if open.is_complete() {
             let open = self.census.open.remove(index);
--- a/crates/anvil_membership/src/fleet/probing.rs
+++ b/crates/anvil_membership/src/fleet/probing.rs
@@ -55,7 +55,7 @@
         }
         let ping_left = self.config.ping_left_members;
         let departed = |m: &crate::member::MemberRecord| match m.state {
-            member::MemberState::Gone => true,
+            member::MemberState::Dead => true,
             member::MemberState::Left => ping_left,
             member::MemberState::Alive | member::MemberState::Suspect => false,
         };
@@ -121,11 +121,11 @@
             | gossip::GossipKind::Quota(_)
             | gossip::GossipKind::Shutdown(_) => {}
         }
-        self.request_introduction(from, message, out);
+        self.request_facts(from, message, out);
     }
 
     /// Requests the facts of a sender that is not in the table.
-    fn request_introduction(
+    fn request_facts(
         &mut self,
         from: SocketAddr,
         message: &gossip::GossipMessage,
--- a/crates/anvil_membership/src/fleet/proposing.rs
+++ b/crates/anvil_membership/src/fleet/proposing.rs
@@ -100,11 +100,11 @@
 
     /// Handles the outcome of writing the change, or of reading it back.
     ///
-    /// A write whose response was lost may have taken effect, so it must not be reported as a
+    /// A write whose reply was lost may have taken effect, so it must not be reported as a
     /// failure, and a retry could conflict with the change itself. Therefore the entry is read and
     /// its change id compared. The change is written again only if there is no entry, and only if
     /// it is still absent.
-    pub(super) fn on_proposal_answer(
+    pub(super) fn on_proposal_outcome(
         &mut self,
         now: time::NodeTime,
         outcome: store::StoreOutcome,
--- a/crates/anvil_membership/src/fleet/rules.rs
+++ b/crates/anvil_membership/src/fleet/rules.rs
@@ -190,7 +190,7 @@
     }
 
     /// Handles the outcome of a request about the log or the rule document.
-    pub(super) fn on_log_answer(
+    pub(super) fn on_log_outcome(
         &mut self,
         now: time::NodeTime,
         purpose: store_requests::RequestPurpose,
--- a/crates/anvil_membership/src/fleet/snapshots.rs
+++ b/crates/anvil_membership/src/fleet/snapshots.rs
@@ -22,7 +22,7 @@
             }
             self.snapshot.open = Some(snapshot::SnapshotWrite {
                 step: snapshot::SnapshotStep::Check,
-                base: store::SwapCondition::Absent,
+                condition: store::SwapCondition::Absent,
                 manifest: None,
                 body: Bytes::new(),
             });
@@ -57,7 +57,7 @@
     }
 
     /// Handles the outcome of one step.
-    pub(super) fn on_snapshot_answer(
+    pub(super) fn on_snapshot_outcome(
         &mut self,
         now: time::NodeTime,
         outcome: store::StoreOutcome,
@@ -74,7 +74,7 @@
         );
         if failed {
             let pause = self.snapshot.backoff.next_pause(self.choice.any());
-            // If the response to the manifest's write was lost, the manifest is read first.
+            // If the reply to the manifest's write was lost, the manifest is read first.
             let step = match open.step {
                 snapshot::SnapshotStep::Publish => snapshot::SnapshotStep::Check,
                 step => step,
@@ -201,7 +201,7 @@
                 None => return,
             },
             snapshot::SnapshotStep::ListLog => list_request(keys::LOG, None, TRIM_LIMIT),
-            // One chunk per request, since the response contains its value.
+            // One chunk per request, since the reply contains its value.
             snapshot::SnapshotStep::ListChunks { after } => {
                 list_request(keys::SNAPSHOTS, after.clone(), 1)
             }
@@ -225,7 +225,7 @@
                 store::StoreOutcome::Done(store::StoreReply::Entry(found)),
             ) => self.after_check(&mut open, found)?,
             (snapshot::SnapshotStep::Chunk { next }, _) => {
-                // On a conflict, the chunk was written earlier and its response was lost.
+                // On a conflict, the chunk was written earlier and its reply was lost.
                 let last = open.manifest.is_none_or(|m| next + 1 >= m.chunks);
                 if last {
                     snapshot::SnapshotStep::Publish
@@ -257,10 +257,10 @@
         found: Option<store::StoreEntry>,
     ) -> Option<snapshot::SnapshotStep> {
         let Some(entry) = found else {
-            open.base = store::SwapCondition::Absent;
+            open.condition = store::SwapCondition::Absent;
             return Some(snapshot::SnapshotStep::Encode);
         };
-        open.base = store::SwapCondition::At(entry.version);
+        open.condition = store::SwapCondition::At(entry.version);
         let current = gossip::SnapshotManifest::from_value(&entry.value)?;
         if open.manifest == Some(current) {
             return Some(snapshot::SnapshotStep::ListLog);
@@ -286,7 +286,7 @@
 fn publish_request(open: &snapshot::SnapshotWrite) -> Option<store::StoreRequest> {
     Some(store::StoreRequest::Swap {
         key: store::StoreKey::new(keys::MANIFEST),
-        condition: open.base,
+        condition: open.condition,
         value: open.manifest?.to_value()?,
         lease: None,
     })
--- a/crates/anvil_membership/src/fleet/store_access.rs
+++ b/crates/anvil_membership/src/fleet/store_access.rs
@@ -77,17 +77,17 @@
             | store_requests::RequestPurpose::ClaimSlot { .. }
             | store_requests::RequestPurpose::RenewLease
             | store_requests::RequestPurpose::ReleaseSlot => {
-                self.on_contact_answer(now, purpose, outcome, out);
+                self.on_contact_outcome(now, purpose, outcome, out);
             }
             store_requests::RequestPurpose::WatchLog | store_requests::RequestPurpose::ReadLog => {
-                self.on_log_answer(now, purpose, &outcome, out);
+                self.on_log_outcome(now, purpose, &outcome, out);
             }
             store_requests::RequestPurpose::ReadManifest => self.on_manifest(now, outcome, out),
             store_requests::RequestPurpose::ReadChunk => self.on_chunk(now, outcome, out),
             store_requests::RequestPurpose::Propose | store_requests::RequestPurpose::Resolve => {
-                self.on_proposal_answer(now, outcome, out);
+                self.on_proposal_outcome(now, outcome, out);
             }
-            store_requests::RequestPurpose::Snapshot => self.on_snapshot_answer(now, outcome, out),
+            store_requests::RequestPurpose::Snapshot => self.on_snapshot_outcome(now, outcome, out),
         }
     }
 }
--- a/crates/anvil_membership/src/fleet/syncing.rs
+++ b/crates/anvil_membership/src/fleet/syncing.rs
@@ -162,12 +162,12 @@
             (true, false) => self.config.sync_interval,
         };
         self.timers.sync = now + interval + self.choice.span(interval / 4);
-        let partner = if compared {
-            self.sync_partner()
+        let peer = if compared {
+            self.sync_peer()
         } else {
-            self.comparison_partner()
+            self.comparison_peer()
         };
-        let Some(peer) = partner else {
+        let Some(peer) = peer else {
             return;
         };
         if compared {
@@ -179,7 +179,7 @@
             digest::sums(&self.table, digest::bucket_count(self.table.live()))
         };
         let head = self.head();
-        let sender = self.introduction();
+        let sender = self.starting_claim();
         let digest = gossip::SyncMessage::Digest { head, sums, sender };
         self.send_sync(peer, digest, out);
     }
@@ -191,7 +191,7 @@
     /// the peers are the successors at distances of a half, a quarter, an eighth and so on of the
     /// ring. They are `log2(n)` members that seldom change, and updates still reach the whole fleet
     /// in `log2(n)` steps.
-    fn sync_partner(&mut self) -> Option<ident::NodeId> {
+    fn sync_peer(&mut self) -> Option<ident::NodeId> {
         if self.early_syncs > 0 || self.table.live() <= FULL_SYNC_MEMBERS {
             let drawn = self.table.draw_live(&mut self.choice, &[self.local])?;
             return Some(drawn.node);
--- a/crates/anvil_membership/src/health.rs
+++ b/crates/anvil_membership/src/health.rs
@@ -7,7 +7,7 @@
 
 /// A score of how likely it is that this node, rather than its peers, is slow.
 ///
-/// A node that was paused, or whose own connection loses messages, sees every probe fail and would
+/// If a node was paused, or its own connection loses messages, all its probes fail and it would
 /// accuse healthy peers. With each sign of local trouble, its probes therefore wait longer.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LocalHealth {
--- a/crates/anvil_membership/src/member.rs
+++ b/crates/anvil_membership/src/member.rs
@@ -10,8 +10,8 @@
     Alive,
     /// Accused, and not refuted yet.
     Suspect,
-    /// Dead: it did not refute in time, or another node answered at its address.
-    Gone,
+    /// It did not refute in time, or another node answered at its address.
+    Dead,
     /// It announced that it left.
     Left,
 }
@@ -24,11 +24,11 @@
 }
 
 /// The state that a claim asserts.
-pub fn claimed_state(standing: &gossip::MemberStatus) -> MemberState {
-    match standing {
+pub fn claimed_state(status: &gossip::MemberStatus) -> MemberState {
+    match status {
         gossip::MemberStatus::Alive(_) => MemberState::Alive,
         gossip::MemberStatus::Suspect { .. } => MemberState::Suspect,
-        gossip::MemberStatus::Dead => MemberState::Gone,
+        gossip::MemberStatus::Dead => MemberState::Dead,
         gossip::MemberStatus::Left => MemberState::Left,
     }
 }
--- a/crates/anvil_membership/src/probe.rs
+++ b/crates/anvil_membership/src/probe.rs
@@ -201,7 +201,7 @@
         Some(number)
     }
 
-    /// Handles an ack of `of` to the ping `probe`.
+    /// Handles the ack of the node `of` to the ping with the number `probe`.
     pub fn on_ack(&mut self, probe: u32, of: ident::NodeId) -> ProbeAnswer {
         if let Some(open) = self.open.take_if(|open| open.number == probe) {
             let target = open.target;
--- a/crates/anvil_membership/src/proposal.rs
+++ b/crates/anvil_membership/src/proposal.rs
@@ -35,7 +35,7 @@
     },
     /// The store was unavailable; the change was not written.
     Unavailable,
-    /// The store's responses were lost; the change may have been written.
+    /// The store's replies were lost; the change may have been written.
     Unknown,
 }
 
@@ -46,7 +46,7 @@
     pub change: gossip::LoggedChange,
     /// The next step and when it is due; none while a request is pending.
     pub next: Option<(time::NodeTime, ProposalStep)>,
-    /// Whether a write may have taken effect although its response was lost.
+    /// Whether a write may have taken effect although its reply was lost.
     pub uncertain: bool,
     /// When the proposal is abandoned.
     pub deadline: time::NodeTime,
--- a/crates/anvil_membership/src/roster.rs
+++ b/crates/anvil_membership/src/roster.rs
@@ -4,8 +4,8 @@
 
 use anvil_types::{ident, time};
 
-/// Number of peers, all still starting themselves, after whose comparison a node accepts their
-/// common members as the fleet if no comparison added a member.
+/// Number of comparisons with peers that are still starting too, after which a node accepts the
+/// common members as the whole fleet, if none of the comparisons added a member.
 ///
 /// Whole fleets start together too; without this rule, their nodes would become ready only after
 /// [`COMPARE_TIMEOUT`].
@@ -39,10 +39,10 @@
 }
 
 impl RosterCheck {
-    /// Waits for a comparison, unless the node is `alone`: without a store and without seeds.
-    pub fn new(alone: bool) -> Self {
+    /// Waits for a comparison, unless the node is `standalone`: without a store and without seeds.
+    pub fn new(standalone: bool) -> Self {
         Self {
-            compared: alone,
+            compared: standalone,
             starting_peers: Vec::new(),
             known: 0,
             deadline: None,
@@ -67,7 +67,7 @@
     /// Records that the store lists no contacts, from which [`EMPTY_LIST_TIMEOUT`] is counted.
     ///
     /// A store that was restored from an older copy also lists none for a moment. A node that
-    /// starts then would take itself for the only one, and serve by the older rules of that copy.
+    /// starts then would consider itself the only one, and serve by the older rules of that copy.
     pub fn expect_empty_list(&mut self, now: time::NodeTime) {
         self.deadline.get_or_insert(now + EMPTY_LIST_TIMEOUT);
     }
--- a/crates/anvil_membership/src/rumour_budget.rs
+++ b/crates/anvil_membership/src/rumour_budget.rs
@@ -85,7 +85,7 @@
         true
     }
 
-    /// When a requested rumour that was held back may be sent.
+    /// When a requested rumour may be sent.
     pub fn next_wake(&self) -> Option<time::NodeTime> {
         let change = self.change_requested.then_some(self.next_change_at);
         let others = (self.requested > 0).then_some(self.next_refill_at);
--- a/crates/anvil_membership/src/snapshot.rs
+++ b/crates/anvil_membership/src/snapshot.rs
@@ -9,7 +9,7 @@
 const PAUSE_FIRST: Duration = Duration::from_secs(1);
 const PAUSE_LIMIT: Duration = Duration::from_secs(30);
 
-/// A step of writing a snapshot; each may be repeated after a lost response.
+/// A step of writing a snapshot; each may be repeated after a lost reply.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SnapshotStep {
     /// Read the current manifest, to check whether another node has already written a snapshot.
@@ -49,7 +49,7 @@
     /// The current step.
     pub step: SnapshotStep,
     /// The condition on the current manifest under which the new one is written.
-    pub base: store::SwapCondition,
+    pub condition: store::SwapCondition,
     /// The manifest to publish.
     pub manifest: Option<gossip::SnapshotManifest>,
     /// The encoded rules.
--- a/crates/anvil_membership/src/spread.rs
+++ b/crates/anvil_membership/src/spread.rs
@@ -130,7 +130,7 @@
     pub is_watcher: bool,
     /// When a node that has not compared its members decides whether it is a watcher.
     pub watcher_choice_at: time::NodeTime,
-    /// When this node last received a response about the document or the log.
+    /// When this node last received a reply about the document or the log.
     pub polled_at: time::NodeTime,
     /// Time between polls of a node that is not a watcher, per live member.
     pub poll_interval: Duration,
--- a/crates/anvil_membership/src/store_requests.rs
+++ b/crates/anvil_membership/src/store_requests.rs
@@ -4,7 +4,7 @@
 
 use anvil_types::{store, time};
 
-/// Time after which a request without a response counts as lost; longer than the longest watch.
+/// Time after which a request without a reply counts as lost; longer than the longest watch.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Why a request was sent, which decides how its outcome is handled.
--- a/crates/anvil_membership/src/suspicion.rs
+++ b/crates/anvil_membership/src/suspicion.rs
@@ -38,8 +38,9 @@
     /// When the member is declared dead, in a fleet of `live` members.
     ///
     /// A single accuser may be at fault itself, so each independent accuser shortens the time. The
-    /// accusers ping the member all the while and declare it dead. The other nodes, to which a
-    /// refutation may still be on its way, do so only if no accuser has by then.
+    /// accusers keep pinging the member and declare it dead. The other nodes, which a refutation
+    /// may not have reached yet, declare it dead only if no accuser has done so by a later
+    /// deadline.
     pub fn deadline(&self, config: &config::FleetConfig, live: usize) -> time::NodeTime {
         self.since + self.span(config, live)
     }
--- a/crates/anvil_membership/src/table.rs
+++ b/crates/anvil_membership/src/table.rs
@@ -99,8 +99,8 @@
         if excess == 0 {
             return;
         }
-        let dead = self.members.iter().filter(|m| !m.state.is_live());
-        let mut oldest: Vec<_> = dead.map(|m| (m.since, m.node)).collect();
+        let departed = self.members.iter().filter(|m| !m.state.is_live());
+        let mut oldest: Vec<_> = departed.map(|m| (m.since, m.node)).collect();
         oldest.sort_unstable();
         oldest.truncate(excess);
         let mut nodes: Vec<_> = oldest.into_iter().map(|(_, node)| node).collect();
--- a/crates/anvil_membership/tests/failures.rs
+++ b/crates/anvil_membership/tests/failures.rs
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn a_paused_node_accuses_nobody_when_it_wakes() {
+fn a_paused_node_accuses_no_member_when_it_resumes() {
     // A paused node must not accuse others when it resumes. The process is paused for 25 s and
     // declared dead. It resumes with an overdue probe whose ack it never read; it drops the probe,
     // receives the claim that it is dead, and refutes it.
--- a/crates/anvil_membership/tests/harness/mod.rs
+++ b/crates/anvil_membership/tests/harness/mod.rs
@@ -77,7 +77,7 @@
 }
 
 /// A document of the rules at `revision`, whose body grows with the revision.
-pub fn whole_rules(revision: u64) -> gossip::LoggedChange {
+pub fn complete_rules(revision: u64) -> gossip::LoggedChange {
     let ids = (1..=u128::from(revision)).flat_map(u128::to_le_bytes);
     gossip::LoggedChange {
         revision: ident::RuleRevision(revision),
@@ -96,7 +96,9 @@
         let request = store::StoreRequest::Swap {
             key: key.clone(),
             condition: base,
-            value: whole_rules(revision).to_value().expect("it can be encoded"),
+            value: complete_rules(revision)
+                .to_value()
+                .expect("it can be encoded"),
             lease: None,
         };
         let operator = store::StoreId {
@@ -146,8 +148,8 @@
             net.add(index % regions, &with_store());
         }
         let all = |net: &Self| {
-            let whole = |n: &Node| n.state.is_ready() && n.state.table().live() == size;
-            net.nodes.iter().all(whole)
+            let joined = |n: &Node| n.state.is_ready() && n.state.table().live() == size;
+            net.nodes.iter().all(joined)
         };
         net.run_until(Duration::from_secs(90), all);
         assert!(all(&net), "the fleet did not join through the store");
@@ -268,7 +270,7 @@
                 let departed = record.is_some_and(|r| {
                     matches!(
                         r.state,
-                        member::MemberState::Gone | member::MemberState::Left
+                        member::MemberState::Dead | member::MemberState::Left
                     )
                 });
                 if departed && self.nodes[member].running {
--- a/crates/anvil_membership/tests/newcomers.rs
+++ b/crates/anvil_membership/tests/newcomers.rs
@@ -51,12 +51,12 @@
     for slot in 0..SIZE {
         add(&mut net, slot, rules);
     }
-    let whole = |net: &Net| {
+    let all_joined = |net: &Net| {
         let joined = |n: &harness::Node| n.state.is_ready() && n.state.table().live() == SIZE;
         net.nodes.iter().all(joined)
     };
-    net.run_until(Duration::from_secs(90), whole);
-    assert!(whole(&net), "the fleet did not join");
+    net.run_until(Duration::from_secs(90), all_joined);
+    assert!(all_joined(&net), "the fleet did not join");
     net
 }
 
--- a/crates/anvil_membership/tests/rule_document.rs
+++ b/crates/anvil_membership/tests/rule_document.rs
@@ -21,8 +21,8 @@
 }
 
 /// A document of the rules at `revision`; the harness checks that its body grows with the revision.
-fn whole(revision: u64) -> gossip::LoggedChange {
-    harness::whole_rules(revision)
+fn complete_rules(revision: u64) -> gossip::LoggedChange {
+    harness::complete_rules(revision)
 }
 
 /// Writes the document as an operator, directly to the store.
@@ -48,12 +48,12 @@
     for slot in 0..16 {
         add(&mut net, slot, usize::from(slot >= 12));
     }
-    let whole = |net: &Net| {
+    let all_joined = |net: &Net| {
         let joined = |n: &harness::Node| n.state.is_ready() && n.state.table().live() == 16;
         net.nodes.iter().all(joined)
     };
-    let took = net.run_until(Duration::from_secs(8), whole);
-    assert!(whole(&net), "the fleet did not join within {took:?}");
+    let took = net.run_until(Duration::from_secs(8), all_joined);
+    assert!(all_joined(&net), "the fleet did not join within {took:?}");
     net
 }
 
@@ -173,7 +173,7 @@
     let entry = store::StoreEntry {
         key: key(),
         version: store::StoreVersion(seen),
-        value: whole(revision).to_value().unwrap_or_default(),
+        value: complete_rules(revision).to_value().unwrap_or_default(),
     };
     store::StoreOutcome::Done(store::StoreReply::Listed {
         entries: vec![entry],
@@ -182,7 +182,7 @@
     })
 }
 
-// A watch fails: the store lost its history, the response is lost, or the store is down. A change
+// A watch fails: the store lost its history, the reply is lost, or the store is down. A change
 // that is made in the gap must not be missed, and a store that is down must not be called without a
 // pause.
 fn a_failed_watch_is_followed_by(
@@ -206,7 +206,7 @@
     assert!(min_pause <= pause && pause <= max_pause, "{pause:?}");
     node.answer(id, listed(9, 90));
     assert_eq!(node.state.revision(), ident::RuleRevision(9));
-    // A stale response does not restore older rules.
+    // A stale reply does not restore older rules.
     let (_, id, _) = node.next_request();
     node.answer(id, listed(4, 60));
     assert_eq!(node.state.revision(), ident::RuleRevision(9));
--- a/crates/anvil_membership/tests/rule_spread.rs
+++ b/crates/anvil_membership/tests/rule_spread.rs
@@ -23,7 +23,7 @@
 
 #[test]
 fn an_answer_lost_behind_the_effect_is_told_as_accepted() {
-    // The operator receives the correct outcome although the store's response to the write was
+    // The operator receives the correct outcome although the store's reply to the write was
     // lost. The write took effect; the entry is read back, and its change id is that of the
     // proposal.
     let mut net = Net::with_store(6, 1, 22);
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_long_log_is_replaced_by_a_snapshot_that_newcomers_read() {
+fn a_long_log_is_replaced_by_a_snapshot_that_starting_nodes_read() {
     // Rules that are a thousand changes old must not be lost when all nodes are replaced. Watchers
     // write snapshots and trim the log; a starting node without peers reads the snapshot and the
     // rest of the log, and holds the same document.
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn a_census_counts_every_node_and_names_the_silent_one() {
+fn a_census_counts_every_node_and_lists_the_silent_one() {
     // An operator can see on how many nodes a change is in force, and which nodes lag. One of 300
     // nodes is paused; the count reports it as silent, and no node handles 300 replies.
     let mut net = Net::joined(300, 3, 25);
--- a/crates/anvil_membership/tests/store_calls.rs
+++ b/crates/anvil_membership/tests/store_calls.rs
@@ -58,12 +58,12 @@
     for slot in 0..size {
         add(&mut net, slot);
     }
-    let whole = |net: &Net| {
+    let all_joined = |net: &Net| {
         let joined = |n: &harness::Node| n.state.is_ready() && n.state.table().live() == size;
         net.nodes.iter().all(joined)
     };
-    let took = net.run_until(Duration::from_secs(20), whole);
-    assert!(whole(&net), "the fleet did not join within {took:?}");
+    let took = net.run_until(Duration::from_secs(20), all_joined);
+    assert!(all_joined(&net), "the fleet did not join within {took:?}");
     net
 }
 
@@ -120,7 +120,8 @@
 }
 
 // Operators change a route repeatedly while the watchers of the document crash, a pair at a time.
-// Each change arrives in time: other pairs see it, and the next nodes of the zone become watchers.
+// Each change arrives in time: other pairs receive it, and the next nodes of the zone become
+// watchers.
 #[test]
 fn changes_arrive_while_pairs_of_watchers_crash() {
     let mut net = fleet(48);
--- a/crates/anvil_membership/tests/store_contacts.rs
+++ b/crates/anvil_membership/tests/store_contacts.rs
@@ -95,9 +95,9 @@
     for _ in 0..6 {
         net.add(0, &harness::with_store());
     }
-    let whole = |net: &Net| net.nodes.iter().all(|node| node.state.table().live() == 6);
-    net.run_until(Duration::from_secs(90), whole);
-    assert!(whole(&net), "the fleet did not join through the store");
+    let all_joined = |net: &Net| net.nodes.iter().all(|node| node.state.table().live() == 6);
+    net.run_until(Duration::from_secs(90), all_joined);
+    assert!(all_joined(&net), "the fleet did not join through the store");
 }
 
 #[test]
--- a/crates/anvil_membership/tests/thousand.rs
+++ b/crates/anvil_membership/tests/thousand.rs
@@ -125,7 +125,7 @@
     // peers: the successors on the ring of ids, and the first random ones.
     let mut now = time::NodeTime::from_millis(2);
     let mut state = with_all_members(now);
-    let mut partners = Vec::new();
+    let mut peers = Vec::new();
     let mut digests = 0;
     for _ in 0..36_000 {
         now = now + Duration::from_millis(100);
@@ -133,7 +133,7 @@
             match effect {
                 effect::FleetEffect::SendSync { peer, .. } => {
                     digests += 1;
-                    partners.push(peer);
+                    peers.push(peer);
                 }
                 effect::FleetEffect::SendDatagram { to, message } => {
                     if let gossip::GossipKind::Ping { probe, to: of } = message.kind {
@@ -145,10 +145,10 @@
             }
         }
     }
-    partners.sort_unstable();
-    partners.dedup();
+    peers.sort_unstable();
+    peers.dedup();
     assert!(digests > 90, "{digests} digests");
-    assert!(partners.len() <= 16, "{} partners", partners.len());
+    assert!(peers.len() <= 16, "{} peers", peers.len());
 }
 
 #[test]
--- a/crates/anvil_rules/src/change.rs
+++ b/crates/anvil_rules/src/change.rs
@@ -89,13 +89,13 @@
     /// The document would hold too many rules.
     #[display("the document would hold more than {limit} rules")]
     TooMany {
-        /// The greatest number.
+        /// The maximum number.
         limit: usize,
     },
     /// The document would hold too many accounts.
     #[display("the document would hold more than {limit} accounts")]
     TooManyAccounts {
-        /// The greatest number.
+        /// The maximum number.
         limit: usize,
     },
     /// Two accounts have the same name.
--- a/crates/anvil_rules/src/path.rs
+++ b/crates/anvil_rules/src/path.rs
@@ -77,8 +77,8 @@
 fn glob_matches(glob: &[u8], path: &[u8]) -> bool {
     let mut cursor = GlobCursor::new(glob, path);
     loop {
-        if let Some(verdict) = cursor.step() {
-            return verdict;
+        if let Some(is_match) = cursor.step() {
+            return is_match;
         }
     }
 }
--- a/crates/anvil_rules/tests/accounts.rs
+++ b/crates/anvil_rules/tests/accounts.rs
@@ -113,9 +113,9 @@
         edits,
     };
     let bytes = codec::encode_change(&change).expect("encoding succeeds");
-    let read = codec::decode_change(&bytes).expect("encoded above");
+    let decoded = codec::decode_change(&bytes).expect("encoded above");
     let mut changed = old;
-    changed.apply(&read).expect("applies");
+    changed.apply(&decoded).expect("applies");
     assert_eq!(changed, new);
 }
 
--- a/crates/anvil_rules/tests/change.rs
+++ b/crates/anvil_rules/tests/change.rs
@@ -187,9 +187,9 @@
     let edits = change::diff(&document(&rules), &document(&changed));
     let bytes = codec::encode_change(&change(edits)).expect("encoding succeeds");
     assert!(bytes.len() < 64, "{} bytes", bytes.len());
-    let read = codec::decode_change(&bytes).expect("encoded above");
+    let decoded = codec::decode_change(&bytes).expect("encoded above");
     let mut document_again = document(&rules);
-    document_again.apply(&read).expect("applies");
+    document_again.apply(&decoded).expect("applies");
     assert_eq!(document_again, document(&changed));
 }
 
--- a/crates/anvil_rules/tests/render.rs
+++ b/crates/anvil_rules/tests/render.rs
@@ -104,8 +104,8 @@
     #[test]
     fn a_document_survives_a_round_trip_through_yaml(document in documents()) {
         let text = render::to_yaml(&document);
-        let read = parse::parse_rules("rendered", &text);
-        prop_assert_eq!(read.as_ref(), Ok(&document), "{}", text);
+        let parsed = parse::parse_rules("rendered", &text);
+        prop_assert_eq!(parsed.as_ref(), Ok(&document), "{}", text);
     }
 
     #[test]
--- a/crates/anvil_types/src/backoff.rs
+++ b/crates/anvil_types/src/backoff.rs
@@ -31,8 +31,8 @@
     pub fn next_pause(&mut self, random: u64) -> Duration {
         let doublings = self.failures.min(MAX_DOUBLINGS);
         self.failures = self.failures.saturating_add(1);
-        let whole = self.initial.saturating_mul(1 << doublings).min(self.max);
-        let half = whole / 2;
+        let pause = self.initial.saturating_mul(1 << doublings).min(self.max);
+        let half = pause / 2;
         let micros = u64::try_from(half.as_micros()).unwrap_or(u64::MAX);
         half + Duration::from_micros(random % micros.saturating_add(1))
     }
--- a/crates/anvil_types/src/name.rs
+++ b/crates/anvil_types/src/name.rs
@@ -8,7 +8,7 @@
 /// Maximum length of a name, in bytes; it keeps membership messages small.
 pub const MAX_NAME_BYTES: usize = 63;
 
-/// Why a name was refused.
+/// Why a name was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error)]
 pub enum NameError {
     /// The name is empty.
--- a/crates/anvil_wire/src/frame.rs
+++ b/crates/anvil_wire/src/frame.rs
@@ -22,7 +22,7 @@
 /// One frame on a connection between two nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerFrame {
-    /// Run a call at the receiver's target.
+    /// Runs a call at the receiver's target.
     Call(Box<call::PeerCall>),
     /// The result of an attempt.
     Answer(Box<call::PeerAnswer>),
--- a/crates/anvil_wire/src/gossip.rs
+++ b/crates/anvil_wire/src/gossip.rs
@@ -65,12 +65,12 @@
     Left,
 }
 
-/// A statement about the status of one member.
+/// A claim about the status of one member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberUpdate {
     /// The member.
     pub node: ident::NodeId,
-    /// Incarnation of the member that the statement is about; only the member increments it.
+    /// Incarnation of the member that the claim is about; only the member increments it.
     pub incarnation: u32,
     /// The status of the member.
     pub status: MemberStatus,
@@ -159,7 +159,7 @@
         #[serde(deserialize_with = "bounded::list::<_, _, MAX_CHANGES>")]
         changes: Vec<LoggedChange>,
     },
-    /// Reports that the store's history was truncated, as the sender's watch found. A receiver that
+    /// Reports that the store's history was trimmed, as the sender's watch found. A receiver that
     /// holds a contact slot checks that its lease is still valid.
     CheckContactLease,
     /// A query or reply about which members have a revision in force.
--- a/crates/anvil_wire/src/seal/replay.rs
+++ b/crates/anvil_wire/src/seal/replay.rs
@@ -24,8 +24,8 @@
 ///
 /// Without it, an attacker could record datagrams and send an old one again, so that a node that
 /// has left would appear to be alive. Only authenticated senders get an entry, so the maximum can
-/// be reached only through days of restarts, when most entries belong to former nodes. The sender
-/// that has been silent for longest is then evicted; replayed datagrams of a former node are
+/// be reached only through days of restarts, when most entries belong to stopped nodes. The sender
+/// that has been silent for longest is then evicted; replayed datagrams of a stopped node are
 /// harmless, because its peers no longer accept what they contain.
 #[derive(Clone, Debug, Default)]
 pub struct ReplayGuard {
--- a/crates/anvil_wire/tests/seal_stream.rs
+++ b/crates/anvil_wire/tests/seal_stream.rs
@@ -96,7 +96,7 @@
     }
 }
 
-/// What an attacker does with two sealed frames before the receiver sees them.
+/// What an attacker does with two sealed frames before the receiver gets them.
 type Attack = fn(first: Vec<u8>, second: Vec<u8>) -> Vec<Vec<u8>>;
 
 fn check_attack(attack: Attack, accepted: usize) {
@@ -212,8 +212,8 @@
 
 #[test]
 fn another_node_at_the_expected_address_is_refused() {
-    // A node was replaced by a new one at the same address. Calls are bound to the former process,
-    // so the initiator must not send them to the new one.
+    // A node was replaced by a new one at the same address. Calls are bound to the previous
+    // process, so the initiator must not send them to the new one.
     let begun = handshake::InitiatorHandshake::begin(&keys(7), hello(INITIATOR), nonce(1));
     let (initiator, first) = begun.expect("a hello");
     let own = hello(ident::NodeId(3));
