--- a/crates/anvil_membership/src/fleet/claims.rs
+++ b/crates/anvil_membership/src/fleet/claims.rs
@@ -39,7 +39,7 @@
             member::MemberState::Suspect => gossip::MemberStatus::Suspect {
                 by: self.latest_accuser(node),
             },
-            member::MemberState::Dead => gossip::MemberStatus::Dead,
+            member::MemberState::Gone => gossip::MemberStatus::Dead,
             member::MemberState::Left => gossip::MemberStatus::Left,
         };
         Some(gossip::MemberUpdate {
@@ -127,7 +127,7 @@
         let state = match reason {
             effect::DepartureReason::Left => member::MemberState::Left,
             effect::DepartureReason::Crashed | effect::DepartureReason::Replaced => {
-                member::MemberState::Dead
+                member::MemberState::Gone
             }
         };
         self.table.set_state(node, (record.incarnation, state), now);
--- a/crates/anvil_membership/src/fleet/contacts.rs
+++ b/crates/anvil_membership/src/fleet/contacts.rs
@@ -122,7 +122,7 @@
         let mut unknown: Vec<_> = decoded
             .filter(|contact| {
                 let known = self.table.get(contact.node);
-                known.is_none_or(|record| record.state == member::MemberState::Dead)
+                known.is_none_or(|record| record.state == member::MemberState::Gone)
             })
             .collect();
         self.choice.shuffle(&mut unknown);
--- a/crates/anvil_membership/src/fleet/probing.rs
+++ b/crates/anvil_membership/src/fleet/probing.rs
@@ -55,7 +55,7 @@
         }
         let ping_left = self.config.ping_left_members;
         let departed = |m: &crate::member::MemberRecord| match m.state {
-            member::MemberState::Dead => true,
+            member::MemberState::Gone => true,
             member::MemberState::Left => ping_left,
             member::MemberState::Alive | member::MemberState::Suspect => false,
         };
--- a/crates/anvil_membership/src/member.rs
+++ b/crates/anvil_membership/src/member.rs
@@ -4,14 +4,16 @@
 use anvil_wire::gossip;
 
 /// The state of a member; unlike a claim, it carries no facts or accuser.
+///
+/// The dump shows the names of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MemberState {
     /// Alive.
     Alive,
     /// Accused, and not refuted yet.
     Suspect,
-    /// It did not refute in time, or another node answered at its address.
-    Dead,
+    /// Dead: it did not refute in time, or another node answered at its address.
+    Gone,
     /// It announced that it left.
     Left,
 }
@@ -28,7 +30,7 @@
     match status {
         gossip::MemberStatus::Alive(_) => MemberState::Alive,
         gossip::MemberStatus::Suspect { .. } => MemberState::Suspect,
-        gossip::MemberStatus::Dead => MemberState::Dead,
+        gossip::MemberStatus::Dead => MemberState::Gone,
         gossip::MemberStatus::Left => MemberState::Left,
     }
 }
--- a/crates/anvil_membership/tests/harness/mod.rs
+++ b/crates/anvil_membership/tests/harness/mod.rs
@@ -270,7 +270,7 @@
                 let departed = record.is_some_and(|r| {
                     matches!(
                         r.state,
-                        member::MemberState::Dead | member::MemberState::Left
+                        member::MemberState::Gone | member::MemberState::Left
                     )
                 });
                 if departed && self.nodes[member].running {
