--- a/crates/anvil_membership/src/fleet/claims.rs
+++ b/crates/anvil_membership/src/fleet/claims.rs
@@ -32,7 +32,7 @@
     /// The current claim about `node`, if it is known.
     pub(super) fn claim(&self, node: ident::NodeId) -> Option<gossip::MemberUpdate> {
         let record = self.table.get(node)?;
-        let standing = match record.state {
+        let status = match record.state {
             member::MemberState::Alive => {
                 gossip::MemberStatus::Alive(Box::new(record.facts.clone()))
             }
@@ -45,7 +45,7 @@
         Some(gossip::MemberUpdate {
             node,
             incarnation: record.incarnation,
-            status: standing,
+            status,
         })
     }
 
--- a/crates/anvil_membership/src/fleet/probing.rs
+++ b/crates/anvil_membership/src/fleet/probing.rs
@@ -121,11 +121,11 @@
             | gossip::GossipKind::Quota(_)
             | gossip::GossipKind::Shutdown(_) => {}
         }
-        self.request_introduction(from, message, out);
+        self.request_facts(from, message, out);
     }
 
     /// Requests the facts of a sender that is not in the table.
-    fn request_introduction(
+    fn request_facts(
         &mut self,
         from: SocketAddr,
         message: &gossip::GossipMessage,
--- a/crates/anvil_membership/src/member.rs
+++ b/crates/anvil_membership/src/member.rs
@@ -4,6 +4,8 @@
 use anvil_wire::gossip;
 
 /// The state of a member; unlike a claim, it carries no facts or accuser.
+///
+/// The dump shows the names of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MemberState {
     /// Alive.
@@ -24,8 +26,8 @@
 }
 
 /// The state that a claim asserts.
-pub fn claimed_state(standing: &gossip::MemberStatus) -> MemberState {
-    match standing {
+pub fn claimed_state(status: &gossip::MemberStatus) -> MemberState {
+    match status {
         gossip::MemberStatus::Alive(_) => MemberState::Alive,
         gossip::MemberStatus::Suspect { .. } => MemberState::Suspect,
         gossip::MemberStatus::Dead => MemberState::Gone,
