--- a/crates/anvil_ctl/src/logs/line.rs
+++ b/crates/anvil_ctl/src/logs/line.rs
@@ -66,7 +66,7 @@
     pub took_ms: u64,
     /// Time left until the deadline, in milliseconds.
     pub left_ms: u64,
-    /// Retry delay that the caller was told, in milliseconds.
+    /// Retry delay sent to the caller, in milliseconds.
     pub retry_after_ms: Option<u64>,
 }
 
--- a/crates/anvil_ctl/src/story/cause.rs
+++ b/crates/anvil_ctl/src/story/cause.rs
@@ -40,13 +40,13 @@
         }
     }
 
-    /// Orders calls by depth, as far as their ids tell it, and then by start.
+    /// Orders calls by depth, as far as their ids show it, and then by start.
     fn cmp_start(&self, other: &Self) -> std::cmp::Ordering {
         let depth = self.entry.depth().cmp(&other.entry.depth());
         depth.then(self.entry.started().total_cmp(&other.entry.started()))
     }
 
-    /// Orders calls by depth, as far as their ids tell it, and then by end.
+    /// Orders calls by depth, as far as their ids show it, and then by end.
     fn cmp_end(&self, other: &Self) -> std::cmp::Ordering {
         let depth = self.entry.depth().cmp(&other.entry.depth());
         depth.then(self.entry.time.total_cmp(&other.entry.time))
@@ -95,8 +95,8 @@
     format!("cause: none; {end} {attempts}, in {took} ms{longest}")
 }
 
-/// The longest wait of the request for a slot, if any, where most of an exceeded deadline was
-/// spent.
+/// The longest wait of the request for a slot, if any. It usually takes most of the time of a call
+/// that exceeds its deadline.
 fn longest_wait(trace: &trace::RequestTrace) -> String {
     let waits = trace.entries.iter().filter_map(|entry| match &entry.facts {
         line::LogFacts::RunEnded(run) => Some((run.queued_ms, &entry.node)),
--- a/crates/anvil_ctl/src/story/timeline.rs
+++ b/crates/anvil_ctl/src/story/timeline.rs
@@ -71,8 +71,8 @@
         text.push_str(&format!(", refused by {limit}"));
     }
     text.push_str(&format!(", took {took_ms} ms, {left_ms} ms left"));
-    if let Some(pause) = call.retry_after_ms {
-        text.push_str(&format!(", told to retry after {pause} ms"));
+    if let Some(delay) = call.retry_after_ms {
+        text.push_str(&format!(", told to retry after {delay} ms"));
     }
     text
 }
--- a/crates/anvil_node/examples/added_latency.rs
+++ b/crates/anvil_node/examples/added_latency.rs
@@ -118,9 +118,9 @@
     let through = runtime.block_on(MeasuredSide::connect(entry.bound().caller))?;
     println!("| calls/s | side | p50 ms | p99 ms | p99.9 ms | calls |");
     println!("|---|---|---|---|---|---|");
-    for (rate, span) in RATES {
+    for (rate, duration) in RATES {
         pace(&runtime, [&direct, &through], rate, WARM_UP, false)?;
-        pace(&runtime, [&direct, &through], rate, span, true)?;
+        pace(&runtime, [&direct, &through], rate, duration, true)?;
         print_rows(rate, &direct.take(), &through.take());
     }
     Ok(())
@@ -133,12 +133,12 @@
     runtime: &runtime::Runtime,
     sides: [&MeasuredSide; 2],
     rate: u32,
-    span: Duration,
+    duration: Duration,
     recorded: bool,
 ) -> eyre::Result<()> {
     let sides = sides.map(Clone::clone);
     let step = Duration::from_secs(1) / (2 * rate);
-    let turns = usize::try_from(span.as_nanos() / step.as_nanos())?;
+    let turns = usize::try_from(duration.as_nanos() / step.as_nanos())?;
     let handle = runtime.handle().clone();
     let started_at = Instant::now();
     let mut requests = Vec::with_capacity(turns);
--- a/crates/anvil_node/examples/demo.rs
+++ b/crates/anvil_node/examples/demo.rs
@@ -128,7 +128,7 @@
 #[derive(Default)]
 struct PhaseCount {
     sent: usize,
-    whole: usize,
+    complete: usize,
     not_run: usize,
     failed: usize,
     attempts: u32,
@@ -139,7 +139,7 @@
         self.sent += 1;
         self.attempts += record.attempts;
         match record.outcome {
-            ledger::CallerOutcome::Complete => self.whole += 1,
+            ledger::CallerOutcome::Complete => self.complete += 1,
             ledger::CallerOutcome::NotRun => self.not_run += 1,
             _ => self.failed += 1,
         }
@@ -167,7 +167,7 @@
                 "{phase:<9} {:<9} {:>5}  {:>5}  {:>18}  {:>5}  {:>20.2}\n",
                 class.to_string(),
                 count.sent,
-                count.whole,
+                count.complete,
                 count.not_run,
                 count.failed,
                 f64::from(count.attempts) / count.sent.max(1) as f64,
--- a/crates/anvil_node/examples/experiment.rs
+++ b/crates/anvil_node/examples/experiment.rs
@@ -248,9 +248,9 @@
         let max = reports.iter().map(count).max().unwrap_or(0);
         cells.push(max.to_string());
     }
-    let whole: usize = reports.iter().map(|report| report.all.complete).sum();
+    let complete: usize = reports.iter().map(|report| report.all.complete).sum();
     let sent: usize = reports.iter().map(|report| report.all.sent).sum();
-    cells.push(format!("{whole} of {sent}"));
+    cells.push(format!("{complete} of {sent}"));
     let costs: [fn(&report::RunReport) -> f64; 2] = [
         |report| report.cpu_micros_per_run,
         |report| report.max_megabytes,
--- a/crates/anvil_node/src/caller/exchange.rs
+++ b/crates/anvil_node/src/caller/exchange.rs
@@ -111,8 +111,8 @@
             }
             Err(_) => {
                 let verdict = verdict::CallVerdict::NotRun(verdict::RefusalReason::Leaving);
-                let pause = Some(RETRY_AFTER_STOP);
-                effect::CallerReply::without_answer(self.label.take(), verdict, pause)
+                let retry_after = Some(RETRY_AFTER_STOP);
+                effect::CallerReply::without_answer(self.label.take(), verdict, retry_after)
             }
         }
     }
@@ -161,7 +161,7 @@
             return;
         };
         // A full queue must not lose the notification, or the target would keep running a request
-        // whose caller is gone.
+        // whose caller has disconnected.
         let engine = self.edge.engine.clone();
         if let Ok(runtime) = tokio::runtime::Handle::try_current() {
             runtime.spawn(async move { engine.send_async(input).await });
--- a/crates/anvil_node/src/caller/head_timer.rs
+++ b/crates/anvil_node/src/caller/head_timer.rs
@@ -82,6 +82,6 @@
     }
 }
 
-fn micros(span: Duration) -> u64 {
-    u64::try_from(span.as_micros()).unwrap_or(SERVING_WITH_MORE - 1)
+fn micros(duration: Duration) -> u64 {
+    u64::try_from(duration.as_micros()).unwrap_or(SERVING_WITH_MORE - 1)
 }
--- a/crates/anvil_node/src/caller/pipeline.rs
+++ b/crates/anvil_node/src/caller/pipeline.rs
@@ -2,7 +2,7 @@
 //!
 //! Some callers send several lookups at once. If the node read each one only after the one before
 //! was answered, the last of five would wait for four runs, by which time most of its objective
-//! has passed, and the caller abandons whatever is not read within a second. Without load, a lookup
+//! has passed, and the caller abandons requests that are not read within a second. Without load, a lookup
 //! of 120 ms then had a median latency of 587 ms.
 //!
 //! The HTTP library still controls the connection: it gets the bytes of one request at a time, and
@@ -80,7 +80,7 @@
     early: VecDeque<EarlyRequest>,
     /// The early request whose turn has come.
     current: Option<EarlyRequest>,
-    /// Whether the request in service asks to close the connection.
+    /// Whether the connection closes after the request in service.
     is_last: bool,
     /// Whether the node is stopping.
     stopping: bool,
--- a/crates/anvil_node/src/caller/problem.rs
+++ b/crates/anvil_node/src/caller/problem.rs
@@ -26,7 +26,7 @@
     pub outcome: &'static str,
     /// The reason, as in the rules, the metrics and the dump.
     pub reason: String,
-    /// Pause after which the caller should retry, in milliseconds.
+    /// Delay after which the caller should retry, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
 }
@@ -34,7 +34,7 @@
 impl ProblemBody {
     /// Builds the body for a request without an answer.
     pub fn new(kind: &ProblemKind, retry_after: Option<Duration>) -> Self {
-        let retry_after = retry_after.map(|pause| pause.as_millis());
+        let retry_after = retry_after.map(|delay| delay.as_millis());
         Self {
             kind: format!("urn:anvil:problem:{}", kind.reason),
             title: kind.title,
@@ -47,7 +47,7 @@
     }
 }
 
-/// The status and the texts by which a caller learns a verdict.
+/// The status and the texts that report a verdict to a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ProblemKind {
     /// The HTTP status.
--- a/crates/anvil_node/src/caller/reply.rs
+++ b/crates/anvil_node/src/caller/reply.rs
@@ -65,9 +65,9 @@
     headers.insert(names::CONTENT_TYPE, media);
     let outcome = HeaderValue::from_static(kind.outcome);
     headers.insert(header::OUTCOME, outcome);
-    if let Some(pause) = retry_after {
+    if let Some(delay) = retry_after {
         // The header states whole seconds; rounded up, so that callers do not retry too early.
-        let seconds = pause.as_millis().div_ceil(1_000);
+        let seconds = delay.as_millis().div_ceil(1_000);
         let seconds = u64::try_from(seconds).unwrap_or(u64::MAX);
         headers.insert(names::RETRY_AFTER, seconds.into());
     }
--- a/crates/anvil_node/src/caller/server.rs
+++ b/crates/anvil_node/src/caller/server.rs
@@ -69,7 +69,7 @@
     pub handles: AtomicU64,
 }
 
-/// Tells connections to finish, and lets the node wait until they have finished.
+/// Signals connections to finish, and lets the node wait until they have finished.
 #[derive(Clone, Debug)]
 pub struct DrainSignal {
     /// Becomes true when the process shuts down.
@@ -163,7 +163,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ConnectionEnd {
     /// The caller closed it, it was idle for too long, or the process shuts down.
-    Quiet,
+    Normal,
     /// A head did not arrive in time.
     SlowHead,
     /// A head was malformed; the library has responded with 400.
@@ -177,13 +177,13 @@
         match result {
             Err(error) if error.is_parse_too_large() => Self::Oversized,
             Err(error) if error.is_parse() => Self::Malformed,
-            _ => Self::Quiet,
+            _ => Self::Normal,
         }
     }
 
     fn cause(self) -> Option<counters::EdgeCause> {
         match self {
-            Self::Quiet => None,
+            Self::Normal => None,
             Self::SlowHead => Some(counters::EdgeCause::CallerHeadSlow),
             Self::Malformed => Some(counters::EdgeCause::CallerHeadMalformed),
             Self::Oversized => Some(counters::EdgeCause::CallerHeadOversized),
--- a/crates/anvil_node/src/counters.rs
+++ b/crates/anvil_node/src/counters.rs
@@ -235,13 +235,13 @@
     }
 
     /// Records the time from a complete request to its reply.
-    pub fn observe_call(&self, outcome: LatencyOutcome, span: Duration) {
-        observe(&self.calls, outcome, span);
+    pub fn observe_call(&self, outcome: LatencyOutcome, duration: Duration) {
+        observe(&self.calls, outcome, duration);
     }
 
     /// Records the duration of a run at the local target.
-    pub fn observe_run(&self, outcome: LatencyOutcome, span: Duration) {
-        observe(&self.runs, outcome, span);
+    pub fn observe_run(&self, outcome: LatencyOutcome, duration: Duration) {
+        observe(&self.runs, outcome, duration);
     }
 
     /// Open connections of callers.
@@ -300,9 +300,9 @@
     Ok(histogram)
 }
 
-fn observe(histogram: &HistogramVec, outcome: LatencyOutcome, span: Duration) {
+fn observe(histogram: &HistogramVec, outcome: LatencyOutcome, duration: Duration) {
     let series = histogram.with_label_values(&[&outcome.to_string()]);
-    series.observe(span.as_secs_f64());
+    series.observe(duration.as_secs_f64());
 }
 
 fn gauge(registry: &Registry, name: &str, help: &str) -> Result<IntGauge, prometheus::Error> {
--- a/crates/anvil_node/src/logs.rs
+++ b/crates/anvil_node/src/logs.rs
@@ -134,7 +134,7 @@
             batch.extend_from_slice(note.as_bytes());
         }
         let mut output = std::io::stdout().lock();
-        // The reader is gone; the process keeps serving.
+        // The reader has closed its end; the process keeps serving.
         if output
             .write_all(&batch)
             .and_then(|()| output.flush())
--- a/crates/anvil_node/src/peer/link.rs
+++ b/crates/anvil_node/src/peer/link.rs
@@ -304,13 +304,13 @@
         Ok(WriteEnd::Flushed) => "ended or broken on this side",
         Ok(WriteEnd::Unresponsive) => "no sign of life",
     };
-    let (peer, owed) = (writer.peer, writer.liveness.awaits_answers());
+    let (peer, awaits_answers) = (writer.peer, writer.liveness.awaits_answers());
     let facts = serde_json::json!({
         "event": "link-ended",
         "peer": peer.to_string(),
         "link": link.0,
         "cause": cause,
-        "calls_out": owed,
+        "calls_out": awaits_answers,
     });
     log::info!("{facts}");
 }
--- a/crates/anvil_node/src/peer/table.rs
+++ b/crates/anvil_node/src/peer/table.rs
@@ -13,8 +13,8 @@
 
 /// All connections to one node.
 ///
-/// There is usually one; two arise if both nodes connect at the same time. The reducer knows nodes
-/// but not connections: if one ends on which answers are due, the reducer queries the other node
+/// There is usually one; two arise if both nodes connect at the same time. The reducer handles
+/// nodes, not connections: if one ends on which answers are due, the reducer queries the other node
 /// for the outcome of all its calls there, over any remaining connection. The end of a connection
 /// on which nothing is due affects no call.
 #[derive(Debug)]
--- a/crates/anvil_node/src/target/message.rs
+++ b/crates/anvil_node/src/target/message.rs
@@ -42,7 +42,7 @@
     /// The body is above the limit.
     #[display("the body is above the limit")]
     Oversized,
-    /// The body has neither a length nor chunks, so its end can't be told from a broken connection.
+    /// The body has neither a length nor chunks, so its end looks like a broken connection.
     #[display("the body has neither a length nor chunks")]
     MissingLength,
 }
@@ -50,7 +50,7 @@
 /// How a body is framed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyFraming {
-    /// There is no body, whatever the headers say.
+    /// There is no body, regardless of the headers.
     Absent,
     /// This many bytes.
     Length(usize),
--- a/crates/anvil_node/src/target/native.rs
+++ b/crates/anvil_node/src/target/native.rs
@@ -57,6 +57,6 @@
     }
 }
 
-fn whole_millis(span: Duration) -> u64 {
-    u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
+fn whole_millis(duration: Duration) -> u64 {
+    u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/anvil_node/src/target/parent.rs
+++ b/crates/anvil_node/src/target/parent.rs
@@ -58,9 +58,9 @@
     fn code(&self, run: event::RunId) -> [u8; CODE_BYTES] {
         let mut keyed = self.keyed.clone();
         keyed.update(&run.0.to_be_bytes());
-        let whole = keyed.finalize().into_bytes();
+        let full_code = keyed.finalize().into_bytes();
         let mut code = [0; CODE_BYTES];
-        code.copy_from_slice(&whole[..CODE_BYTES]);
+        code.copy_from_slice(&full_code[..CODE_BYTES]);
         code
     }
 }
--- a/crates/anvil_node/src/target/pool.rs
+++ b/crates/anvil_node/src/target/pool.rs
@@ -107,7 +107,7 @@
         let message::KeepAlive::Yes(stated) = keep_alive else {
             return;
         };
-        let stated = stated.map(|span| span * STATED_TIMEOUT_PERCENT / 100);
+        let stated = stated.map(|timeout| timeout * STATED_TIMEOUT_PERCENT / 100);
         connection.idle_limit = stated.unwrap_or(MAX_IDLE);
         connection.idle_since = Instant::now();
         self.lock().push(connection);
--- a/crates/anvil_node/tests/broken_connections.rs
+++ b/crates/anvil_node/tests/broken_connections.rs
@@ -21,11 +21,11 @@
 const PEER: u16 = 8_082;
 const GOSSIP: u16 = 8_083;
 
-/// Indexes of loopback addresses. The peer port of each node is bound at its index plus `HIDDEN`,
-/// and the proxy in front of it at the index itself.
+/// Indexes of loopback addresses. The peer port of each node is bound at its index plus
+/// `HIDDEN_OFFSET`, and the proxy in front of it at the index itself.
 const ENTRY: u8 = 0;
 const SERVING: u8 = 1;
-const HIDDEN: u8 = 100;
+const HIDDEN_OFFSET: u8 = 100;
 
 /// A node whose peer port is behind a proxy.
 struct ProxiedNode {
@@ -39,24 +39,24 @@
     serving: ProxiedNode,
     target: http_target::StandInTarget,
     _runtime: tokio::runtime::Runtime,
-    _ground: loopback::LoopbackBlock,
+    _block: loopback::LoopbackBlock,
 }
 
 fn start(
-    ground: &loopback::LoopbackBlock,
+    block: &loopback::LoopbackBlock,
     runtime: &tokio::runtime::Handle,
     index: u8,
     seed: SocketAddr,
 ) -> ProxiedNode {
-    let hidden = ground.port(HIDDEN + index, PEER);
-    let link = proxy::FaultProxy::start(runtime, ground.port(index, PEER), hidden).unwrap();
+    let hidden = block.port(HIDDEN_OFFSET + index, PEER);
+    let link = proxy::FaultProxy::start(runtime, block.port(index, PEER), hidden).unwrap();
     let yaml = format!(
         "zone: ar-centro-a\nregion: ar-centro\nadvertise: {}\nlisten: {{caller: '{}', admin: '{}', \
          peer: '{hidden}', gossip: '{}'}}\npeer_keys: [{{id: 1, secret: {}}}]\nseeds: ['{seed}']\n",
-        ground.address(index),
-        ground.port(index, CALLER),
-        ground.port(index, ADMIN),
-        ground.port(index, GOSSIP),
+        block.address(index),
+        block.port(index, CALLER),
+        block.port(index, ADMIN),
+        block.port(index, GOSSIP),
         common::SECRET,
     );
     let settings = settings::parse(&yaml, Path::new("proxied.yaml")).unwrap();
@@ -66,20 +66,10 @@
 
 impl ProxiedPair {
     fn start() -> Self {
-        let ground = loopback::LoopbackBlock::claim().unwrap();
+        let block = loopback::LoopbackBlock::claim().unwrap();
         let runtime = tokio::runtime::Runtime::new().unwrap();
-        let entry = start(
-            &ground,
-            runtime.handle(),
-            ENTRY,
-            ground.port(SERVING, GOSSIP),
-        );
-        let serving = start(
-            &ground,
-            runtime.handle(),
-            SERVING,
-            ground.port(ENTRY, GOSSIP),
-        );
+        let entry = start(&block, runtime.handle(), ENTRY, block.port(SERVING, GOSSIP));
+        let serving = start(&block, runtime.handle(), SERVING, block.port(ENTRY, GOSSIP));
         let target = http_target::StandInTarget::start().unwrap();
         common::announce(
             serving.node.bound().admin,
@@ -91,7 +81,7 @@
             serving,
             target,
             _runtime: runtime,
-            _ground: ground,
+            _block: block,
         };
         common::await_true("the entry node learns of the target", || {
             pair.request("/joined").send().unwrap().status() == 200
@@ -108,10 +98,10 @@
         seen.iter().filter(|seen| seen.head.uri == path).count()
     }
 
-    /// Applies `harm` to all connections between the two nodes; new ones work.
-    fn harm(&self, harm: proxy::LinkFault) {
-        self.entry.link.set(harm);
-        self.serving.link.set(harm);
+    /// Applies `fault` to all connections between the two nodes; new ones work.
+    fn inject(&self, fault: proxy::LinkFault) {
+        self.entry.link.set(fault);
+        self.serving.link.set(fault);
     }
 }
 
@@ -126,11 +116,11 @@
 
 // A bid is sent on a connection that breaks before or after. It must run once and its caller must
 // get the answer, even if the caller's node was asked to stop before: a planned stop fails no call.
-fn check_break(harm: proxy::LinkFault, moment: BreakMoment, stopping: bool) {
+fn check_break(fault: proxy::LinkFault, moment: BreakMoment, stopping: bool) {
     const BID: &str = "/slow/1200";
     let pair = ProxiedPair::start();
     if matches!(moment, BreakMoment::Idle) {
-        pair.harm(harm);
+        pair.inject(fault);
     }
     let request = pair.request(BID).text("a bid");
     let caller = thread::spawn(move || {
@@ -147,7 +137,7 @@
         pair.entry.node.stop();
     }
     if matches!(moment, BreakMoment::Running) {
-        pair.harm(harm);
+        pair.inject(fault);
     }
     assert_eq!(caller.join().unwrap(), (200, "a bid".to_owned()));
     assert_eq!(pair.run_count(BID), 1);
--- a/crates/anvil_node/tests/common/fake_peer.rs
+++ b/crates/anvil_node/tests/common/fake_peer.rs
@@ -19,12 +19,12 @@
     decompressor: compression::FrameDecompressor,
 }
 
-/// The key of the tests, or another one if `twist` is not zero.
-pub fn key_ring(twist: u8) -> ring::KeyRing {
+/// The key of the tests, or another one if `mask` is not zero.
+pub fn key_ring(mask: u8) -> ring::KeyRing {
     let mut bytes = [0; 32];
     for (index, byte) in bytes.iter_mut().enumerate() {
         let digits = &super::SECRET[2 * index..2 * index + 2];
-        *byte = u8::from_str_radix(digits, 16).unwrap() ^ twist;
+        *byte = u8::from_str_radix(digits, 16).unwrap() ^ mask;
     }
     ring::KeyRing::new(vec![ring::SealKey::new(ring::KeyId(1), &bytes).unwrap()]).unwrap()
 }
--- a/crates/anvil_node/tests/two_nodes.rs
+++ b/crates/anvil_node/tests/two_nodes.rs
@@ -99,18 +99,18 @@
     peer.send_members();
     await_service(&entry);
     let caller = entry.bound().caller;
-    let ask = move |path: &'static str| {
+    let send = move |path: &'static str| {
         thread::spawn(move || {
             let response = common::request(caller, "GET", path).send().unwrap();
             response.text().unwrap()
         })
     };
-    let first = ask("/first");
+    let first = send("/first");
     let one = peer.receive_call();
     peer.answer(one.call, one.attempt, "first");
     peer.answer(one.call, one.attempt, "first again");
     assert_eq!(first.join().unwrap(), "first");
-    let second = ask("/second");
+    let second = send("/second");
     let two = peer.receive_call();
     peer.answer(one.call, one.attempt, "first, late");
     peer.answer(two.call, two.attempt + 1, "an attempt not made");
@@ -144,7 +144,7 @@
     second: fake_peer::FakePeer,
 }
 
-fn ask(entry: &node::RunningNode) -> thread::JoinHandle<String> {
+fn send_bid(entry: &node::RunningNode) -> thread::JoinHandle<String> {
     let caller = entry.bound().caller;
     thread::spawn(move || {
         let response = common::request(caller, "POST", "/bids").send().unwrap();
@@ -159,7 +159,7 @@
     let mut first = fake_peer::FakePeer::accept(&listener);
     first.send_members();
     await_service(&entry);
-    let caller = ask(&entry);
+    let caller = send_bid(&entry);
     let call = first.receive_call();
     let mut second = fake_peer::FakePeer::connect(entry.bound().peer);
     // The entry node has no target and refuses this call; its answer shows that it has received a
@@ -193,7 +193,7 @@
     });
     two.first.answer(two.call.call, two.call.attempt, "whole");
     assert_eq!(two.caller.join().unwrap(), "whole");
-    let caller = ask(&two.entry);
+    let caller = send_bid(&two.entry);
     let next = two.first.receive_call();
     two.first.answer(next.call, next.attempt, "whole again");
     assert_eq!(caller.join().unwrap(), "whole again");
@@ -206,7 +206,7 @@
 #[test]
 fn the_end_of_a_connection_with_a_call_fails_no_call() {
     let mut two = two_connections();
-    let other = ask(&two.entry);
+    let other = send_bid(&two.entry);
     let call = two.second.receive_call();
     drop(two.second);
     let queried = two.first.receive_query();
@@ -247,13 +247,13 @@
     let entry = entry(node.addresses().gossip);
     await_target(&entry);
     let caller = entry.bound().caller;
-    let ask = move |path: &str| {
+    let send = move |path: &str| {
         let request = common::request(caller, "POST", path).text("a bid");
         let response = request.send().unwrap();
         let outcome = response.headers()["anvil-outcome"].clone();
         (response.status().as_u16(), outcome)
     };
-    let waiting_caller = thread::spawn(move || ask("/slow/60000"));
+    let waiting_caller = thread::spawn(move || send("/slow/60000"));
     let runs = |path: &str| {
         let seen = target.seen();
         seen.iter().any(|seen| seen.head.uri == path)
@@ -262,7 +262,7 @@
     node.kill();
     let (status, outcome) = waiting_caller.join().unwrap();
     assert_eq!((status, outcome.to_str().unwrap()), (502, "may-have-run"));
-    let (status, outcome) = ask("/afterwards");
+    let (status, outcome) = send("/afterwards");
     assert_eq!((status, outcome.to_str().unwrap()), (503, "not-run"));
     assert!(!runs("/afterwards"));
 }
@@ -278,12 +278,12 @@
     await_target(&entry);
     let before = target.seen().len();
     let caller = entry.bound().caller;
-    let ask = move || {
+    let send = move || {
         let request = common::request(caller, "POST", "/slow/1500").text("a bid");
         let response = request.send().unwrap();
         (response.status().as_u16(), response.text().unwrap())
     };
-    let callers: Vec<_> = (0..10).map(|_| thread::spawn(ask)).collect();
+    let callers: Vec<_> = (0..10).map(|_| thread::spawn(send)).collect();
     common::await_true("all requests run", || target.seen().len() == before + 10);
     node.terminate().unwrap();
     for caller in callers {
--- a/crates/anvil_standins/src/experiment.rs
+++ b/crates/anvil_standins/src/experiment.rs
@@ -42,7 +42,7 @@
 
 /// The cold start of stand-in targets.
 const COLD_START: mesh_target::ColdStart = mesh_target::ColdStart {
-    span: Duration::from_secs(3),
+    duration: Duration::from_secs(3),
     factor: 8.0,
 };
 
@@ -100,7 +100,7 @@
         played = mesh.play(start, callers) => played?,
         // A key that runs twice is an error, which ends the run: the logs and the memory of the
         // processes still contain its cause, which would be lost if they continued.
-        Ok(_) = key_ran_twice.wait_for(|ran_twice| *ran_twice) => tokio::time::sleep(LOG_FLUSH_TIME).await,
+        Ok(_) = key_ran_twice.wait_for(|twice| *twice) => tokio::time::sleep(LOG_FLUSH_TIME).await,
     }
     supervisor.abort();
     for member in &mesh.members {
--- a/crates/anvil_standins/src/ledger.rs
+++ b/crates/anvil_standins/src/ledger.rs
@@ -17,7 +17,7 @@
     /// The experiment's name of the target that ran it.
     pub target: String,
     /// The parent token that came with it: the run's number at the node that sent it, and a proof
-    /// that only that process can create, so that runs of different processes can be told apart.
+    /// that only that process can create, which distinguishes runs of different processes.
     pub parent: String,
     /// When it started, since the start of the ledger.
     pub started: Duration,
--- a/crates/anvil_standins/src/mesh_target.rs
+++ b/crates/anvil_standins/src/mesh_target.rs
@@ -45,7 +45,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ColdStart {
     /// How long it lasts.
-    pub span: Duration,
+    pub duration: Duration,
     /// The factor at the start.
     pub factor: f64,
 }
@@ -53,15 +53,15 @@
 impl ColdStart {
     /// No cold start.
     pub const NONE: Self = Self {
-        span: Duration::ZERO,
+        duration: Duration::ZERO,
         factor: 1.0,
     };
 
     fn factor_at(&self, age: Duration) -> f64 {
-        if age >= self.span {
+        if age >= self.duration {
             return 1.0;
         }
-        let left = 1.0 - age.as_secs_f64() / self.span.as_secs_f64();
+        let left = 1.0 - age.as_secs_f64() / self.duration.as_secs_f64();
         1.0 + (self.factor - 1.0) * left
     }
 }
@@ -137,13 +137,15 @@
     /// Ends the cold start of a target that has just started.
     pub fn warm_up(&self) {
         let mut started = self.started.lock().unwrap_or_else(PoisonError::into_inner);
-        *started = started.checked_sub(self.plan.cold.span).unwrap_or(*started);
+        *started = started
+            .checked_sub(self.plan.cold.duration)
+            .unwrap_or(*started);
     }
 
     /// Whether its cold start is over.
     pub fn is_warm(&self) -> bool {
         let started = self.started.lock().unwrap_or_else(PoisonError::into_inner);
-        started.elapsed() >= self.plan.cold.span
+        started.elapsed() >= self.plan.cold.duration
     }
 
     /// Whether its last crash was caused by a request.
@@ -208,47 +210,47 @@
         &self,
         request: http::Request<Incoming>,
     ) -> Result<http::Response<Full<Bytes>>, Infallible> {
-        let order = RunRequest::of(&request);
+        let run_request = RunRequest::of(&request);
         // The body must be read even though it is not used.
         let body = request.into_body().collect().await;
         if body.is_err() {
             return Ok(answer(400, "the body is incomplete".to_owned()));
         }
-        if order.step == POISON_STEP {
+        if run_request.step == POISON_STEP {
             self.poisoned.store(true, Ordering::SeqCst);
             self.crash();
         }
         let Ok(_slot) = self.slots.acquire().await else {
             return Ok(answer(503, "shutting down".to_owned()));
         };
-        let mut guard = RunGuard::start(&self.ledger, &order, &self.plan);
+        let mut guard = RunGuard::start(&self.ledger, &run_request, &self.plan);
         tokio::time::sleep(self.work_time()).await;
-        if let Err(status) = self.make_calls(&order).await {
+        if let Err(status) = self.make_calls(&run_request).await {
             return Ok(answer(
                 status,
                 "a call to a deeper service failed".to_owned(),
             ));
         }
         guard.completed = true;
-        Ok(answer(200, format!("{ANSWER_PREFIX}{}", order.root)))
+        Ok(answer(200, format!("{ANSWER_PREFIX}{}", run_request.root)))
     }
 
     /// Makes the calls of the step in sequence; fails with the status to return.
-    async fn make_calls(&self, order: &RunRequest) -> Result<(), u16> {
+    async fn make_calls(&self, run_request: &RunRequest) -> Result<(), u16> {
         let steps = &self.plan.service.steps;
-        let Some(step) = steps.iter().find(|step| step.step == order.step) else {
+        let Some(step) = steps.iter().find(|step| step.step == run_request.step) else {
             return Ok(());
         };
         let Some(node) = self.node.get() else {
             return Err(500);
         };
         for call in &step.calls {
-            let path = format!("/{}/{}", call.step, order.root);
+            let path = format!("/{}/{}", call.step, run_request.root);
             let mut headers = vec![
                 (client::SERVICE_HEADER, call.service.to_string()),
-                (client::PARENT_HEADER, order.parent.clone()),
+                (client::PARENT_HEADER, run_request.parent.clone()),
             ];
-            if let Some(key) = &order.key {
+            if let Some(key) = &run_request.key {
                 headers.push((client::KEY_HEADER, format!("{key}/{}", call.step)));
             }
             let request = client::ClientRequest {
@@ -306,14 +308,17 @@
 }
 
 impl<'run> RunGuard<'run> {
-    fn start(ledger: &'run ledger::RunLedger, order: &RunRequest, plan: &TargetPlan) -> Self {
-        let action = order.key.as_ref().filter(|_| order.method == "POST");
+    fn start(ledger: &'run ledger::RunLedger, run_request: &RunRequest, plan: &TargetPlan) -> Self {
+        let action = run_request
+            .key
+            .as_ref()
+            .filter(|_| run_request.method == "POST");
         let service = plan.service.name.as_str();
         let index = ledger.begin(ledger::RunRecord {
-            root: order.root.clone(),
+            root: run_request.root.clone(),
             key: action.map(|key| ident::RequestKey::of(service, key.as_bytes())),
             target: plan.name.clone(),
-            parent: order.parent.clone(),
+            parent: run_request.parent.clone(),
             started: ledger.now(),
             ended: None,
             completed: false,
--- a/crates/anvil_standins/src/proxy.rs
+++ b/crates/anvil_standins/src/proxy.rs
@@ -122,8 +122,8 @@
         if silenced || current == blocking {
             continue;
         }
-        if let LinkFault::Delayed(span) = current {
-            tokio::time::sleep(span).await;
+        if let LinkFault::Delayed(delay) = current {
+            tokio::time::sleep(delay).await;
         }
         to.write_all(&buffer[..read]).await?;
     }
--- a/crates/anvil_standins/src/report.rs
+++ b/crates/anvil_standins/src/report.rs
@@ -198,8 +198,8 @@
     classes
 }
 
-fn per_second(count: usize, span: Duration) -> f64 {
-    count as f64 / span.as_secs_f64().max(f64::EPSILON)
+fn per_second(count: usize, duration: Duration) -> f64 {
+    count as f64 / duration.as_secs_f64().max(f64::EPSILON)
 }
 
 fn wasted_percent(callers: &[ledger::CallerRecord], runs: &[ledger::RunRecord]) -> f64 {
--- a/crates/anvil_standins/src/store/fake.rs
+++ b/crates/anvil_standins/src/store/fake.rs
@@ -41,7 +41,7 @@
 #[derive(Clone, Copy, Debug)]
 struct FakeLease {
     id: store::LeaseId,
-    span: Duration,
+    duration: Duration,
     until: time::NodeTime,
 }
 
@@ -341,13 +341,13 @@
         }
     }
 
-    fn grant(&mut self, now: time::NodeTime, span: Duration) -> store::StoreOutcome {
+    fn grant(&mut self, now: time::NodeTime, duration: Duration) -> store::StoreOutcome {
         self.last_lease += 1;
         let lease = store::LeaseId(self.last_lease);
         self.leases.push(FakeLease {
             id: lease,
-            span,
-            until: now + span,
+            duration,
+            until: now + duration,
         });
         store::StoreOutcome::Done(store::StoreReply::Granted { lease })
     }
@@ -355,7 +355,7 @@
     fn renew(&mut self, now: time::NodeTime, id: store::LeaseId) -> store::StoreOutcome {
         let reply = match self.leases.iter_mut().find(|lease| lease.id == id) {
             Some(lease) => {
-                lease.until = now + lease.span;
+                lease.until = now + lease.duration;
                 store::StoreReply::Renewed
             }
             None => store::StoreReply::Lapsed,
--- a/crates/anvil_standins/src/store/server.rs
+++ b/crates/anvil_standins/src/store/server.rs
@@ -161,7 +161,7 @@
 fn parse_request(request: &rouille::Request) -> Option<store::StoreRequest> {
     let url = request.url();
     let number = |name: &str| request.get_param(name)?.parse::<u64>().ok();
-    let span = |name: &str| number(name).map(Duration::from_millis);
+    let duration = |name: &str| number(name).map(Duration::from_millis);
     let prefix = || Some(store::StoreKey::new(&request.get_param("prefix")?));
     match (request.method(), url.as_str()) {
         ("GET", "/list") => Some(store::StoreRequest::List {
@@ -174,10 +174,10 @@
         ("GET", "/watch") => Some(store::StoreRequest::Watch {
             prefix: prefix()?,
             seen: store::StoreVersion(number("seen")?),
-            wait: span("millis")?,
+            wait: duration("millis")?,
         }),
         ("POST", "/leases") => Some(store::StoreRequest::Grant {
-            lease: span("millis")?,
+            lease: duration("millis")?,
         }),
         ("PUT", path) if path.starts_with("/leases/") => {
             let lease = path.strip_prefix("/leases/")?.parse().ok()?;
--- a/crates/anvil_store/src/protocol.rs
+++ b/crates/anvil_store/src/protocol.rs
@@ -78,11 +78,11 @@
         store::StoreRequest::Get { key } => format!("/kv/{key}"),
         store::StoreRequest::Swap {
             key,
-            condition: base,
+            condition,
             lease,
             ..
         } => {
-            let base = match base {
+            let base = match condition {
                 store::SwapCondition::Absent => "absent".to_owned(),
                 store::SwapCondition::At(version) => version.to_string(),
             };
--- a/scripts/compare_days.py
+++ b/scripts/compare_days.py
@@ -1,13 +1,13 @@
 #!/usr/bin/env python3
-"""Plays versions and settings of the node on the same days and seeds, and compares them pair by pair.
+"""Plays variants of the node on the same days and seeds, and prints paired differences.
 
     scripts/compare_days.py --player PROGRAM --work DIR --sites A.toml,B.toml --days quiet-1,scale-2 \
-        --seeds 11,12,13 base no-cut:cut_line=false former@1a2b3c4
+        --seeds 11,12,13 base no-cut:cut_line=false previous@1a2b3c4
 
-A variant is a name, optionally a revision behind '@' (else HEAD), optionally switches of the node's
-policy behind ':'. The first variant is the base of all comparisons. Each revision is built once, in a
-clone of its own below DIR; its journal entries stay there, to be copied. Results are appended to
-DIR/results.jsonl as they come, so that a run that was ended goes on where it stopped.
+A variant is a name, optionally followed by '@' and a revision (default: HEAD), and by ':' and
+switches of the node's policy. All variants are compared with the first one, the base. Each revision
+is built once, in a separate clone in DIR; its journal entries stay there and have to be copied.
+Results are appended to DIR/results.jsonl as they arrive, so that an interrupted run can be resumed.
 """
 
 import argparse
@@ -65,7 +65,7 @@
 
 
 def checkout(work: pathlib.Path, revision: str, player: str) -> pathlib.Path:
-    """A built clone of this repository at a revision."""
+    """Clones this repository at a revision, builds it and returns the path of the clone."""
     here = pathlib.Path(__file__).resolve().parent.parent
     commit = run(["git", "rev-parse", revision], here).strip()
     clone = work / commit[:12]
@@ -77,7 +77,7 @@
 
 
 def with_switches(settings: str, switches: tuple[tuple[str, str], ...]) -> str:
-    """The settings with switches set in their policy; others stay as they are."""
+    """Returns the settings with these policy switches set; other lines stay unchanged."""
     for switch, value in switches:
         line = f"  {switch}: {value}\n"
         pattern = re.compile(rf"^  {re.escape(switch)}: .*\n?", re.MULTILINE)
@@ -93,10 +93,10 @@
     command = [player, "run", str(one.site), one.day, "--seed", str(one.seed), "--no-cpu"]
     command += ["--report", str(report), "--why", f"Comparison: {variant.name}"]
     printed = run(command, clone)
-    told = json.loads(report.read_text())
-    prices = {name: cost for name, _, cost in told["prices"] if cost}
-    result = {"worth": told["G"], "served": told["served"], "refused": told["refused"]}
-    result |= {"failed": told["failed"], "fault": told["fault"], "prices": prices}
+    measured = json.loads(report.read_text())
+    prices = {name: cost for name, _, cost in measured["prices"] if cost}
+    result = {"worth": measured["G"], "served": measured["served"], "refused": measured["refused"]}
+    result |= {"failed": measured["failed"], "fault": measured["fault"], "prices": prices}
     result["broken"] = sorted(set(re.findall(r"^\s*([A-Z]{4,}):? \d+", printed, re.MULTILINE)))
     return result
 
@@ -138,7 +138,7 @@
 def main() -> int:
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("--player", required=True, help="the program that plays days")
-    parser.add_argument("--work", type=pathlib.Path, required=True, help="where clones and results go")
+    parser.add_argument("--work", type=pathlib.Path, required=True, help="directory for clones and results")
     parser.add_argument("--sites", required=True)
     parser.add_argument("--days", required=True)
     parser.add_argument("--seeds", required=True)
@@ -153,7 +153,7 @@
     results = load(path)
     for variant in options.variants:
         clone = checkout(options.work, variant.revision, options.player)
-        # The settings are read when a day begins, so variants of one clone are played in turn.
+        # The settings are read when a day begins, so variants of one clone are played one by one.
         run(["git", "checkout", "--quiet", "--", str(SETTINGS)], clone)
         settings = clone / SETTINGS
         settings.write_text(with_switches(settings.read_text(), variant.switches))
@@ -165,7 +165,7 @@
                 try:
                     results[key] = task.result()
                 except (RuntimeError, OSError, ValueError, subprocess.TimeoutExpired) as error:
-                    print(f"not played: {key}: {error}", file=sys.stderr)
+                    print(f"failed: {key}: {error}", file=sys.stderr)
                     continue
                 with path.open("a") as file:
                     file.write(json.dumps({"key": key, "result": results[key]}) + "\n")
