--- a/crates/anvil_core/examples/overload_table.rs
+++ b/crates/anvil_core/examples/overload_table.rs
@@ -22,7 +22,7 @@
     demand_factor: f64,
     /// Factor on the run time of the service `expediente`, the deepest one.
     slowdown: f64,
-    /// Most resends of a request by its caller.
+    /// Maximum number of resends of a request by its caller.
     resends: u32,
     /// Requests per second that only need the first service.
     side_rate: f64,
--- a/crates/anvil_core/src/accounts.rs
+++ b/crates/anvil_core/src/accounts.rs
@@ -17,7 +17,7 @@
 /// The name of this part in log lines.
 const PART: &str = "quota";
 
-/// Most accounts that are listed in a dump.
+/// Maximum number of accounts that are listed in a dump.
 const MAX_DUMP_ACCOUNTS: usize = 256;
 
 /// The account on whose behalf a call is made.
@@ -339,9 +339,10 @@
 
 /// The reason to refuse a caller without a known key.
 ///
-/// Targets send no key on their own calls. A call that refers to an unknown run was most likely made
-/// for a request that the previous process of this node accepted. Its account can't be determined,
-/// and a refusal as unauthenticated would be final, so the caller gets a reason that allows a retry.
+/// Targets send no key on their own calls. A call that refers to an unknown run was most likely
+/// made for a request that the previous process of this node accepted. Its account can't be
+/// determined, and a refusal as unauthenticated would be final, so the caller gets a reason that
+/// allows a retry.
 fn refusal_without_key(hints: &event::CallerHints) -> verdict::RefusalReason {
     let keyless = hints.credential == account::CallerCredential::None;
     match keyless && hints.parent_label.is_some() {
--- a/crates/anvil_core/src/admitting.rs
+++ b/crates/anvil_core/src/admitting.rs
@@ -2,7 +2,7 @@
 
 use anvil_overload::{admission, kind, limit, policy, quarantine, rank, refusal};
 use anvil_types::{ident, verdict};
-use anvil_wire::{call, frame};
+use anvil_wire::{call, frame, suspicion};
 
 use crate::{effect, event, overload, reducer, retrying, runs, stopping, timers};
 
@@ -59,10 +59,10 @@
         fingerprint: ident::RequestFingerprint,
     ) -> Option<refusal::RefusalLimit> {
         match self.overload.poison.status(self.now, fingerprint) {
-            quarantine::PrintStatus::Quarantined { seen, allowed, .. } => {
+            quarantine::QuarantineStatus::Quarantined { seen, allowed, .. } => {
                 Some(refusal::RefusalLimit::Crashes { seen, allowed })
             }
-            quarantine::PrintStatus::Clean | quarantine::PrintStatus::Suspect => None,
+            quarantine::QuarantineStatus::Clean | quarantine::QuarantineStatus::Suspect => None,
         }
     }
 
@@ -78,7 +78,7 @@
             rank: rank::CallRank::of(&run.context),
             deadline: run.deadline,
             queue_wait: run.treatment.queue_wait,
-            suspect: status == quarantine::PrintStatus::Suspect,
+            suspect: status == quarantine::QuarantineStatus::Suspect,
         };
         let Some(admission) = &mut self.overload.admission else {
             return;
@@ -200,7 +200,7 @@
         self.broadcast_suspicion(&notice);
     }
 
-    pub(crate) fn broadcast_suspicion(&mut self, notice: &anvil_wire::suspicion::SuspicionNotice) {
+    pub(crate) fn broadcast_suspicion(&mut self, notice: &suspicion::SuspicionNotice) {
         if !self.overload.policy.quarantine {
             return;
         }
--- a/crates/anvil_core/src/answer.rs
+++ b/crates/anvil_core/src/answer.rs
@@ -36,7 +36,7 @@
 
 /// Why a request was not carried out.
 ///
-/// Only with [`OperatorRefusal::Unknown`] it is uncertain whether a change took effect.
+/// Only [`OperatorRefusal::Unknown`] leaves it uncertain whether a change took effect.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error)]
 pub enum OperatorRefusal {
     /// The rules were changed since the operator read them, so this change was not made.
--- a/crates/anvil_core/src/answer_cache.rs
+++ b/crates/anvil_core/src/answer_cache.rs
@@ -13,7 +13,7 @@
 pub struct CacheBounds {
     /// How long an answer is retained.
     pub retention: Duration,
-    /// Most bytes of retained answers.
+    /// Maximum number of bytes of retained answers.
     pub max_bytes: usize,
 }
 
--- a/crates/anvil_core/src/counters.rs
+++ b/crates/anvil_core/src/counters.rs
@@ -35,7 +35,8 @@
     /// Calls of other nodes refused before they ran.
     pub runs_refused: u64,
     /// Messages of the local target that were ignored as outdated or of an unknown service.
-    pub words_ignored: u64,
+    #[serde(rename = "words_ignored")]
+    pub messages_ignored: u64,
     /// Crashes of the local target, detected by broken runs.
     pub targets_crashed: u64,
     /// Retries that the retry ratio did not allow.
@@ -43,15 +44,20 @@
     /// Runs cancelled because their caller or parent was gone.
     pub runs_cancelled: u64,
     /// Attempts whose outcome was queried because their connection had ended.
-    pub fates_asked: u64,
+    #[serde(rename = "fates_asked")]
+    pub outcomes_queried: u64,
     /// Queried attempts that were reported as still queued or running.
-    pub fates_held: u64,
+    #[serde(rename = "fates_held")]
+    pub outcomes_pending: u64,
     /// Answers sent again because the first copy may have been lost with its connection.
-    pub fates_answered: u64,
+    #[serde(rename = "fates_answered")]
+    pub outcomes_answered: u64,
     /// Queried attempts that never arrived or are no longer remembered.
-    pub fates_unknown: u64,
+    #[serde(rename = "fates_unknown")]
+    pub outcomes_unknown: u64,
     /// Attempts given up because their node has ended or did not answer the query.
-    pub fates_lost: u64,
+    #[serde(rename = "fates_lost")]
+    pub outcomes_lost: u64,
 }
 
 impl NodeCounters {
--- a/crates/anvil_core/src/directory.rs
+++ b/crates/anvil_core/src/directory.rs
@@ -49,9 +49,9 @@
             leaving: record.leaving,
             announced: record.announced,
         };
-        let former = self.peers.get(node).map(|known| &known.service);
-        if let Some(former) = former.filter(|former| **former != record.service) {
-            self.routes.remove(former, node);
+        let known_service = self.peers.get(node).map(|known| &known.service);
+        if let Some(previous) = known_service.filter(|previous| **previous != record.service) {
+            self.routes.remove(previous, node);
         }
         self.routes.upsert(now, &record.service, &target);
         self.peers.insert(node, record);
--- a/crates/anvil_core/src/duplicates.rs
+++ b/crates/anvil_core/src/duplicates.rs
@@ -10,8 +10,8 @@
 /// longer, because connections that deliver nothing for a minute are closed.
 pub const NON_IDEMPOTENT_RETENTION: Duration = Duration::from_secs(120);
 
-/// Most remembered attempts, of 48 bytes each. At 61 calls per second, all of them non-idempotent,
-/// two minutes fill less than half of it.
+/// Maximum number of remembered attempts, of 48 bytes each. At 61 calls per second, all of them
+/// non-idempotent, two minutes fill less than half of it.
 pub const MAX_REMEMBERED: usize = 16_384;
 
 /// How long an attempt of an idempotent request is remembered. It doesn't prevent a second run, it
--- a/crates/anvil_core/src/entry.rs
+++ b/crates/anvil_core/src/entry.rs
@@ -14,8 +14,8 @@
 /// appear. Runs take about a quarter of the objective, and the round trip some milliseconds.
 const TARGET_WAIT_PERCENT: u32 = 40;
 
-/// The interval at which a waiting request checks for a target; a tenth of the shortest objective of
-/// the users' routes.
+/// The interval at which a waiting request checks for a target; a tenth of the shortest objective
+/// of the users' routes.
 const TARGET_POLL_INTERVAL: Duration = Duration::from_millis(30);
 
 impl reducer::NodeReducer {
@@ -131,8 +131,8 @@
 
     /// Defers a pipelined non-idempotent request until the requests before it are answered.
     ///
-    /// If the answer to an earlier request closes the connection, the caller takes the pipelined one
-    /// as not read and sends it again; had it been started early, it would run twice. The edge
+    /// If the answer to an earlier request closes the connection, the caller takes the pipelined
+    /// one as not read and sends it again; had it been started early, it would run twice. The edge
     /// offers it again when its turn comes, so this is not counted as a refusal.
     fn defer_pipelined(&mut self, handle: event::CallerHandle, hints: &event::CallerHints) {
         let verdict = not_run(verdict::RefusalReason::OutOfTurn);
@@ -191,8 +191,8 @@
     ///
     /// After all processes were killed, each target may only be known at its next heartbeat, a
     /// second later. Requests refused in that second would be retried after their objective has
-    /// passed. A call therefore waits for a part of its objective, so that it can still be served in
-    /// time.
+    /// passed. A call therefore waits for a part of its objective, so that it can still be served
+    /// in time.
     fn may_wait_for_target(&self, sequence: u64) -> bool {
         let Some(open) = self.calls.get(sequence) else {
             return false;
@@ -298,9 +298,9 @@
         let Some(sequence) = self.calls.find_by_caller(handle) else {
             return;
         };
-        // The caller will send the request again with the same key. If this copy were cancelled, its
-        // outcome would stay uncertain; instead it finishes, and the owner of the key answers the
-        // second copy with the recorded answer.
+        // The caller will send the request again with the same key. If this copy were cancelled,
+        // its outcome would stay uncertain; instead it finishes, and the owner of the key answers
+        // the second copy with the recorded answer.
         let must_finish = self.calls.get(sequence).is_some_and(|open| {
             let in_flight = matches!(open.stage, calls::CallStage::Out { .. });
             in_flight && self.guards_keys() && open.guarded_key().is_some()
@@ -342,8 +342,8 @@
         }
     }
 
-    /// Whether this attempt is the current one of a call of this node and in flight at `peer`: node,
-    /// call, attempt and peer must all match.
+    /// Whether this attempt is the current one of a call of this node and in flight at `peer`:
+    /// node, call, attempt and peer must all match.
     pub(crate) fn is_awaiting(&self, peer: ident::NodeId, id: outcome::AttemptId) -> bool {
         let open = self.calls.get(id.call.sequence);
         id.call.node == self.config.node
@@ -403,7 +403,7 @@
         let verdict = open.final_verdict(verdict);
         let served = answer.as_ref().is_some_and(settling::is_served);
         self.return_allowance(sequence, &open, served);
-        self.note_call_refusal(&open, verdict);
+        self.record_call_refusal(&open, verdict);
         self.finish_key(sequence, &open, verdict, answer.as_ref());
         self.settle_token(sequence, &open, verdict);
         let retry_after = self.retry_after(&open, verdict);
@@ -464,10 +464,10 @@
 
 /// Lets a call wait in queues for as long as its parent request may wait.
 ///
-/// If a high-priority request calls a service whose rule only allows a short wait, the call would be
-/// refused while its parent could still wait. The parent would fail behind a slow service in spite
-/// of its priority, and its work so far would be lost. Everything else follows the call's own rule.
-/// Its class and deadline are those of the parent, which bounds the wait.
+/// If a high-priority request calls a service whose rule only allows a short wait, the call would
+/// be refused while its parent could still wait. The parent would fail behind a slow service in
+/// spite of its priority, and its work so far would be lost. Everything else follows the call's own
+/// rule. Its class and deadline are those of the parent, which bounds the wait.
 fn inherit_queue_wait(own: &mut treatment::RuleTreatment, parent: &treatment::RuleTreatment) {
     own.queue_wait = own.queue_wait.max(parent.queue_wait);
 }
--- a/crates/anvil_core/src/fleet.rs
+++ b/crates/anvil_core/src/fleet.rs
@@ -12,7 +12,8 @@
 use crate::config::NodeConfig;
 use crate::{directory, effect, keys, reducer};
 
-/// Most members that are listed in the dump; beyond that only their number is reported.
+/// Maximum number of members that are listed in the dump; beyond that only their number is
+/// reported.
 const MAX_DUMP_MEMBERS: usize = 1_000;
 
 /// The name of this part in log lines.
@@ -38,10 +39,11 @@
     pub(crate) fn datagram_arrived(&mut self, from: SocketAddr, message: &gossip::GossipMessage) {
         let effects = self.fleet.on_datagram(self.now, from, message);
         self.apply_fleet_effects(effects);
+        let sender = message.head.from;
         match &message.kind {
             gossip::GossipKind::Quota(quota) => self.quota_arrived(from, message.head, quota),
-            gossip::GossipKind::Shutdown(word) => {
-                self.farewell_arrived(from, message.head.from, *word);
+            gossip::GossipKind::Shutdown(message) => {
+                self.shutdown_message_arrived(from, sender, *message);
             }
             _ => {}
         }
--- a/crates/anvil_core/src/incarnations.rs
+++ b/crates/anvil_core/src/incarnations.rs
@@ -13,7 +13,7 @@
 
 use crate::event;
 
-/// Most target ids that are remembered.
+/// Maximum number of target ids that are remembered.
 ///
 /// A restart takes at least some seconds and messages are late by at most some seconds, so even a
 /// handful would be enough.
--- a/crates/anvil_core/src/keys.rs
+++ b/crates/anvil_core/src/keys.rs
@@ -27,8 +27,8 @@
 /// When a caller should retry if another call with the same key is running.
 pub(crate) const IN_PROGRESS_RETRY: Duration = Duration::from_secs(1);
 
-/// Most senders that are remembered before membership has announced them. Requests of further
-/// ones succeed when they are repeated after the announcement.
+/// Maximum number of senders that are remembered before membership has announced them. Requests of
+/// further ones succeed when they are repeated after the announcement.
 const MAX_UNKNOWN_PEERS: usize = 1_024;
 
 /// The name of this part in log lines.
@@ -96,7 +96,7 @@
     ///
     /// Without the address an owner could not deliver a grant, and keyed requests through a node
     /// that started a second ago would wait until their callers give up.
-    fn note_sender(&mut self, node: ident::NodeId, address: SocketAddr) {
+    fn record_sender(&mut self, node: ident::NodeId, address: SocketAddr) {
         if self.peers.get(node).is_none() && self.unknown_peers.len() < MAX_UNKNOWN_PEERS {
             self.unknown_peers.insert(node, address);
         }
@@ -191,7 +191,7 @@
     }
 
     pub(crate) fn key_arrived(&mut self, from: ident::NodeId, frame: key::KeyFrame) {
-        self.keys.note_sender(from, frame.reply_to);
+        self.keys.record_sender(from, frame.reply_to);
         let message = frame.message;
         self.step_keys(key_event::KeyEvent::Message { from, message });
     }
--- a/crates/anvil_core/src/outcome_queries.rs
+++ b/crates/anvil_core/src/outcome_queries.rs
@@ -4,8 +4,8 @@
 //! A connection may be reset or go silent while both nodes keep running. If that alone ended the
 //! calls in flight, they would be reported as "may have run" although their targets still work on
 //! them or have answered, their runs would be cancelled, and a planned stop would cost requests.
-//! Instead the entry node queries the outcome over a new connection, which only the same process can
-//! answer. Only if that process has ended or doesn't answer, the outcome stays uncertain.
+//! Instead the entry node queries the outcome over a new connection, which only the same process
+//! can answer. Only if that process has ended or doesn't answer, the outcome stays uncertain.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -65,11 +65,11 @@
     /// Handles the presumption of membership that `peer` has crashed.
     ///
     /// The datagrams of a busy node may be late, so it may be presumed crashed although its
-    /// connections and its target work. If that ended everything, the calls in flight there would be
-    /// reported as "may have run", even at a stopping node, and the runs that it requested would be
-    /// cancelled. Therefore only the calls that are already being queried end, because their
-    /// connection was silent as well. The outcome of the others is queried, and the peer is sent the
-    /// list of its runs here. An instance that lost power closes no connection, but it doesn't
+    /// connections and its target work. If that ended everything, the calls in flight there would
+    /// be reported as "may have run", even at a stopping node, and the runs that it requested would
+    /// be cancelled. Therefore only the calls that are already being queried end, because their
+    /// connection was silent as well. The outcome of the others is queried, and the peer is sent
+    /// the list of its runs here. An instance that lost power closes no connection, but it doesn't
     /// answer the queries either.
     pub(crate) fn peer_presumed_crashed(&mut self, peer: ident::NodeId) {
         let in_flight = self.calls.in_flight_at(peer);
@@ -85,8 +85,8 @@
         self.key_unreachable(peer);
     }
 
-    /// Sends `peer` the list of its runs at this node, so that it cancels those that it doesn't wait
-    /// for.
+    /// Sends `peer` the list of its runs at this node, so that it cancels those that it doesn't
+    /// wait for.
     fn announce_pending_runs(
         &mut self,
         peer: ident::NodeId,
@@ -193,7 +193,7 @@
                 None => lost.push(sequence),
             }
         }
-        self.counters.fates_asked += queried.len() as u64;
+        self.counters.outcomes_queried += queried.len() as u64;
         for attempts in queried.chunks(outcome::MAX_ATTEMPTS) {
             let attempts = attempts.to_vec();
             let message = outcome::OutcomeMessage::Query { reply_to, attempts };
@@ -224,7 +224,7 @@
     }
 
     fn give_up(&mut self, peer: ident::NodeId, lost: &[u64]) {
-        self.counters.fates_lost += lost.len() as u64;
+        self.counters.outcomes_lost += lost.len() as u64;
         self.end_lost_calls(peer, lost);
     }
 
@@ -319,7 +319,7 @@
                 .get(attempt.id)
             {
                 let frame = frame::PeerFrame::Answer(Box::new(cached.clone()));
-                self.counters.fates_answered += 1;
+                self.counters.outcomes_answered += 1;
                 self.send_frame(peer, reply_to, frame);
                 continue;
             }
@@ -328,7 +328,7 @@
             // attempt recorded as seen and be answered with "may have run".
             self.send_answer(peer, reply_to, answer, attempt.idempotent);
         }
-        self.counters.fates_held += pending.len() as u64;
+        self.counters.outcomes_pending += pending.len() as u64;
         if !pending.is_empty() {
             self.send_pending(peer, reply_to, &pending);
         }
@@ -342,11 +342,11 @@
 
     /// The answer to a query for an attempt without a run or a cached answer.
     ///
-    /// An attempt that never arrived is recorded as seen before it is reported as not run. Its frame
-    /// may still be unread in the connection that ended, and must not run after the request was sent
-    /// elsewhere.
+    /// An attempt that never arrived is recorded as seen before it is reported as not run. Its
+    /// frame may still be unread in the connection that ended, and must not run after the request
+    /// was sent elsewhere.
     fn answer_unknown_attempt(&mut self, queried: &outcome::QueriedAttempt) -> call::PeerAnswer {
-        self.counters.fates_unknown += 1;
+        self.counters.outcomes_unknown += 1;
         // The query may have been in transit for as long as the entry node waits for the answer.
         let age = Duration::from_micros(queried.age_micros) + QUERY_TIMEOUT;
         let sent = time::NodeTime(self.now.0.saturating_sub(entry::micros(age)));
--- a/crates/anvil_core/src/overload.rs
+++ b/crates/anvil_core/src/overload.rs
@@ -114,7 +114,7 @@
             reason: cause.reason,
             limit: cause.limit,
             by: cause.by,
-            mark: rule,
+            rule,
         });
     }
 }
--- a/crates/anvil_core/src/reducer.rs
+++ b/crates/anvil_core/src/reducer.rs
@@ -30,7 +30,8 @@
     pub(crate) runs: runs::RunTable,
     pub(crate) memory: memory::AttemptMemory,
     pub(crate) target: Option<runs::LocalTarget>,
-    /// The previous incarnation of the target, in case the announcement of the current one was late.
+    /// The previous incarnation of the target, in case the announcement of the current one was
+    /// late.
     pub(crate) previous_target: Option<runs::LocalTarget>,
     pub(crate) overload: overload::OverloadState,
     pub(crate) timers: timers::TimerQueue,
--- a/crates/anvil_core/src/request_log.rs
+++ b/crates/anvil_core/src/request_log.rs
@@ -14,8 +14,8 @@
 /// Number of lanes, out of 256, whose successes are logged.
 const LOGGED_LANES: u8 = 16;
 
-/// Most lines about single requests per second. A line takes about 300 bytes, so a node writes at
-/// most 60 kB/s.
+/// Maximum number of lines about single requests per second. A line takes about 300 bytes, so a
+/// node writes at most 60 kB/s.
 const MAX_LINES_PER_SECOND: u32 = 200;
 
 /// How a request ended at its entry node.
--- a/crates/anvil_core/src/retrying.rs
+++ b/crates/anvil_core/src/retrying.rs
@@ -9,8 +9,8 @@
 
 use crate::{calls, entry, keys, overload, reducer, stopping, timers};
 
-/// Most redirects per call: refusals by leaving, unready or unreachable nodes that are followed by
-/// another attempt without spending a retry.
+/// Maximum number of redirects per call: refusals by leaving, unready or unreachable nodes that are
+/// followed by another attempt without spending a retry.
 ///
 /// Such an attempt put no load on any target. Four cover a rack that leaves at once, and the bound
 /// keeps a call from trying every node of a service that is shutting down.
@@ -87,7 +87,7 @@
         let Some(service) = services.next().cloned() else {
             return;
         };
-        let prints: Vec<(ident::RequestFingerprint, quarantine::CrashRule)> = open
+        let fingerprints: Vec<(ident::RequestFingerprint, quarantine::CrashRule)> = open
             .map(|open| {
                 (
                     open.context.fingerprint,
@@ -96,7 +96,10 @@
             })
             .collect();
         let now = self.now;
-        let notice = self.overload.poison.peer_lost(now, peer, &service, &prints);
+        let notice = self
+            .overload
+            .poison
+            .peer_lost(now, peer, &service, &fingerprints);
         self.broadcast_suspicion(&notice);
     }
 
@@ -148,12 +151,12 @@
         }
     }
 
-    /// The pause before a retry, which also spends the retry; none if there is no retry, so that the
-    /// caller gets its reply immediately.
+    /// The pause before a retry, which also spends the retry; none if there is no retry, so that
+    /// the caller gets its reply immediately.
     ///
-    /// A complete answer is final, whatever its status, because the service that sent it had its own
-    /// retries. Only the naive policy repeats requests that `failed` with a server error, as hops
-    /// commonly do.
+    /// A complete answer is final, whatever its status, because the service that sent it had its
+    /// own retries. Only the naive policy repeats requests that `failed` with a server error, as
+    /// hops commonly do.
     fn retry_pause(
         &mut self,
         sequence: u64,
@@ -229,7 +232,7 @@
         }
     }
 
-    pub(crate) fn note_call_refusal(
+    pub(crate) fn record_call_refusal(
         &mut self,
         open: &calls::OpenCall,
         verdict: verdict::CallVerdict,
@@ -322,9 +325,9 @@
             .poison
             .status(self.now, open.context.fingerprint)
         {
-            quarantine::PrintStatus::Quarantined { left, .. } => Some(left),
+            quarantine::QuarantineStatus::Quarantined { left, .. } => Some(left),
             // The target's node refused it, and this node has not been notified of the crashes.
-            quarantine::PrintStatus::Clean | quarantine::PrintStatus::Suspect => {
+            quarantine::QuarantineStatus::Clean | quarantine::QuarantineStatus::Suspect => {
                 Some(open.treatment.quarantine)
             }
         }
--- a/crates/anvil_core/src/rollout.rs
+++ b/crates/anvil_core/src/rollout.rs
@@ -6,7 +6,7 @@
 
 use crate::reducer;
 
-/// Most lagging nodes that are listed; beyond that only their number is reported.
+/// Maximum number of lagging nodes that are listed; beyond that only their number is reported.
 const MAX_LAGGING_NODES: usize = 20;
 
 /// On how many nodes the rules are in force.
--- a/crates/anvil_core/src/settling.rs
+++ b/crates/anvil_core/src/settling.rs
@@ -69,7 +69,7 @@
             answer_bytes: answer
                 .answer
                 .as_ref()
-                .map(|whole| calls::frame_bytes(&whole.body)),
+                .map(|answer| calls::frame_bytes(&answer.body)),
         };
         let service = open.request.service.clone();
         self.directory.attempt_ended(now, &service, peer, report);
@@ -118,8 +118,8 @@
         self.directory.attempt_ended(now, &service, peer, report);
     }
 
-    /// Returns the unspent retries of a call to the run that made it, or saves them for later copies
-    /// of its root request.
+    /// Returns the unspent retries of a call to the run that made it, or saves them for later
+    /// copies of its root request.
     ///
     /// A call that was not `served` is assumed to fail its run, which can't be observed directly.
     pub(crate) fn return_allowance(&mut self, sequence: u64, open: &calls::OpenCall, served: bool) {
@@ -162,7 +162,7 @@
 fn attempt_end(answer: &call::PeerAnswer) -> routing::AttemptEnd {
     match answer.verdict {
         verdict::CallVerdict::Answered => match &answer.answer {
-            Some(whole) if is_served(whole) || answer.failed_below => {
+            Some(complete) if is_served(complete) || answer.failed_below => {
                 routing::AttemptEnd::Succeeded
             }
             _ => routing::AttemptEnd::Failed,
--- a/crates/anvil_core/src/shutdown.rs
+++ b/crates/anvil_core/src/shutdown.rs
@@ -14,11 +14,12 @@
 const NOTICE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Longest wait for the callers to confirm. A silent connection is detected within a second and a
-/// new one takes at most half a second. Over working connections the handshake takes one round trip.
+/// new one takes at most half a second. Over working connections the handshake takes one round
+/// trip.
 pub const HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Most remembered callers; more than the nodes that call one target within [`CALLER_RETENTION`] at
-/// 61 calls per second.
+/// Maximum number of remembered callers; more than the nodes that call one target within
+/// [`CALLER_RETENTION`] at 61 calls per second.
 const MAX_CALLERS: usize = 512;
 
 /// A node that called the local target.
--- a/crates/anvil_core/src/stop_notices.rs
+++ b/crates/anvil_core/src/stop_notices.rs
@@ -31,7 +31,7 @@
     }
 
     /// Handles a notice of another node's planned stop, or the acknowledgement of this node's own.
-    pub(crate) fn farewell_arrived(
+    pub(crate) fn shutdown_message_arrived(
         &mut self,
         from: SocketAddr,
         peer: ident::NodeId,
--- a/crates/anvil_core/src/stopping.rs
+++ b/crates/anvil_core/src/stopping.rs
@@ -70,9 +70,9 @@
         let running = self.calls.len() + self.runs.running() as usize;
         let repeated = self.phase != NodePhase::Serving;
         // A stop may be requested twice without the intent to force it, for example if the stops of
-        // a machine and of its whole zone overlap. A forced stop would abort requests seconds before
-        // their answers. If a limit is set, the process ends in time anyway, so a second request
-        // has no effect.
+        // a machine and of its whole zone overlap. A forced stop would abort requests seconds
+        // before their answers. If a limit is set, the process ends in time anyway, so a second
+        // request has no effect.
         let forced = repeated && self.stop.limit.is_none();
         self.report(effect::StateChange::Stopping { forced, running });
         if forced {
--- a/crates/anvil_core/src/target.rs
+++ b/crates/anvil_core/src/target.rs
@@ -47,11 +47,11 @@
             });
         }
         let renewed = self.target.as_ref().is_some_and(|target| {
-            let former = &target.announcement;
+            let known = &target.announcement;
             !target.leaving
-                && former.service == announcement.service
-                && former.address == announcement.address
-                && former.is_same_incarnation(&announcement)
+                && known.service == announcement.service
+                && known.address == announcement.address
+                && known.is_same_incarnation(&announcement)
         });
         let slots = announcement.slots;
         if !renewed {
@@ -69,15 +69,15 @@
 
     /// Cancels the runs of the previous incarnation if the target has restarted with the same id.
     ///
-    /// After a power loss the connections to the previous incarnation stay silent, and callers would
-    /// wait until their deadline for answers that never come. Only a reused id proves that the
-    /// previous incarnation has ended; an announcement with another id may be a late one.
+    /// After a power loss the connections to the previous incarnation stay silent, and callers
+    /// would wait until their deadline for answers that never come. Only a reused id proves that
+    /// the previous incarnation has ended; an announcement with another id may be a late one.
     fn cancel_previous_runs(&mut self, announcement: &event::TargetAnnouncement) {
-        let restarted = self.previous_target.as_ref().is_some_and(|former| {
-            let id = former.announcement.incarnation_id();
+        let restarted = self.previous_target.as_ref().is_some_and(|previous| {
+            let id = previous.announcement.incarnation_id();
             id.is_some()
                 && id == announcement.incarnation_id()
-                && !former.announcement.is_same_incarnation(announcement)
+                && !previous.announcement.is_same_incarnation(announcement)
         });
         if !restarted {
             return;
@@ -128,7 +128,7 @@
         message: &event::TargetIncarnation,
         status: incarnations::AnnouncementStatus,
     ) {
-        self.counters.words_ignored += 1;
+        self.counters.messages_ignored += 1;
         self.report(effect::StateChange::AnnouncementIgnored {
             incarnation: message.id.clone(),
             started_at_ms: message.started_at_ms,
@@ -153,12 +153,12 @@
             return;
         }
         self.incarnations.supersede(self.now, &present);
-        let former = self.previous_target.take().filter(|former| {
-            let id = former.announcement.incarnation_id();
-            id.is_some() && id == holder && !former.leaving
+        let previous = self.previous_target.take().filter(|previous| {
+            let id = previous.announcement.incarnation_id();
+            id.is_some() && id == holder && !previous.leaving
         });
-        match former {
-            Some(former) => self.adopt_target(former.announcement),
+        match previous {
+            Some(previous) => self.adopt_target(previous.announcement),
             None => self.target_leaving(),
         }
     }
--- a/crates/anvil_core/tests/broken_links.rs
+++ b/crates/anvil_core/tests/broken_links.rs
@@ -3,7 +3,7 @@
 //! A request is in flight to another node when the connection is reset, or is closed because it is
 //! silent. Ending the call as "may have run" would lose it although its target is still working or
 //! has answered, also during a planned stop. So the entry node queries the target's node over a new
-//! connection, and a call ends as "may have run" only if the process has died or the deadline
+//! connection, and a call ends as "may have run" only if the process has ended or the deadline
 //! passes.
 
 #![allow(clippy::unwrap_used)]
@@ -285,8 +285,8 @@
     claim_answered_two_disconnects => (CallStage::Answered, "POST", true, 2),
 }
 
-// The target's node dies with its machine. The caller must be told as soon as connections to it are
-// refused, and not at the deadline seconds later.
+// The target's node crashes together with its machine. The caller must be told as soon as
+// connections to it are refused, and not at the deadline seconds later.
 #[test]
 fn a_dead_process_ends_its_calls_at_once() {
     let mut pair = LinkedPair::new(8);
@@ -298,7 +298,7 @@
     assert!(pair.now < 100, "{}", pair.now);
 }
 
-// The entry node has died, so nobody can receive the answer. The target's slot must be freed at
+// The entry node has crashed, so nobody can receive the answer. The target's slot must be freed at
 // once.
 #[test]
 fn the_runs_of_a_dead_process_are_cancelled_at_once() {
@@ -310,7 +310,7 @@
 }
 
 // A caller disconnects, and the cancellation is lost with the connection. The run must still end:
-// the target's node reports its pending attempts, and the entry node no longer wants this one.
+// the target's node reports its pending attempts, and the entry node no longer waits for this one.
 #[test]
 fn a_cancellation_lost_with_its_connection_still_takes_effect() {
     let mut pair = LinkedPair::new(8);
@@ -372,7 +372,7 @@
     with_its_answer_lost => (SilentLoss::Answer),
 }
 
-// The caller's node has died, so nobody answers the shutdown handshake. The stop must end within
+// The caller's node has crashed, so nobody answers the shutdown handshake. The stop must end within
 // its time limit all the same.
 #[test]
 fn a_stopping_node_does_not_wait_for_a_dead_process() {
--- a/crates/anvil_core/tests/platform_hardships.rs
+++ b/crates/anvil_core/tests/platform_hardships.rs
@@ -78,8 +78,8 @@
 
 #[test]
 fn a_refusal_by_the_successor_brings_the_node_back_to_it() {
-    // Start a crashed and b has registered, and then an announcement of a arrives seconds late. The
-    // target at the address refuses a run meant for a and answers that it is b. The node must
+    // Incarnation a crashed and b has registered; then an announcement of a arrives seconds late.
+    // The target at the address refuses a run meant for a and answers that it is b. The node must
     // return to b and ignore a from then on; otherwise callers would be refused until the next
     // heartbeat.
     let mut node = support::entry_node();
--- a/crates/anvil_once/src/change.rs
+++ b/crates/anvil_once/src/change.rs
@@ -237,7 +237,7 @@
         request: effect::SlotRequest,
     ) {
         self.last_request_id += 1;
-        self.counters.store_asked += 1;
+        self.counters.store_requests += 1;
         let id = effect::SlotRequestId(self.last_request_id);
         let change = SlotChange {
             slot,
--- a/crates/anvil_once/src/counters.rs
+++ b/crates/anvil_once/src/counters.rs
@@ -14,7 +14,8 @@
     /// Duplicates refused because the first copy is running.
     pub in_progress: u64,
     /// Requests answered as may-have-run for another reason.
-    pub doubtful: u64,
+    #[serde(rename = "doubtful")]
+    pub uncertain: u64,
     /// Requests refused because their key was used for another request.
     pub mismatched: u64,
     /// Requests refused because this node could not grant keys.
@@ -34,7 +35,8 @@
     /// Records removed because their retention ended.
     pub expired: u64,
     /// Requests to the store.
-    pub store_asked: u64,
+    #[serde(rename = "store_asked")]
+    pub store_requests: u64,
     /// Requests to the store without a reply.
     pub store_unknown: u64,
     /// Swaps that failed because another node changed the record first.
--- a/crates/anvil_once/src/dump.rs
+++ b/crates/anvil_once/src/dump.rs
@@ -37,7 +37,8 @@
     pub owned: Vec<SlotDump>,
     /// Calls of this node that wait for a key, hold one or have an outcome to deliver, and recently
     /// abandoned ones.
-    pub asks: usize,
+    #[serde(rename = "asks")]
+    pub requests: usize,
     /// Reads and changes of slot records in progress.
     pub changes: usize,
     /// Whether the node is handing over.
@@ -52,7 +53,7 @@
         KeyDump {
             known_slots: self.views.list().len(),
             owned: self.slots.iter().map(dump_slot).collect(),
-            asks: self.requests.len(),
+            requests: self.requests.len(),
             changes: self.changes.len(),
             leaving: self.leaving,
             counters: self.counters,
--- a/crates/anvil_once/src/grant.rs
+++ b/crates/anvil_once/src/grant.rs
@@ -114,8 +114,8 @@
                     GrantDecision::Grant
                 };
             }
-            // The holder may be running the key now, or may have run it before it died. A grant to
-            // another call could be the second run.
+            // The holder may be running the key now, or may have run it before it crashed. A grant
+            // to another call could be the second run.
             key::RecordState::Held if !self.policy.guards.held_keys_refused => {
                 return GrantDecision::Record;
             }
@@ -201,9 +201,9 @@
             self.grant(call, key);
             return;
         };
-        // If a primary granted the key before the backup has the record and then died, the backup
-        // would treat the key as new and grant it again: two case numbers for one claim. With the
-        // record at the backup first, every surviving owner knows the holder.
+        // If a primary granted the key before the backup has the record and then crashed, the
+        // backup would treat the key as new and grant it again: two case numbers for one claim.
+        // With the record at the backup first, every surviving owner knows the holder.
         if guards.ack_before_grant {
             let sent_at = now;
             role.pending.push(role::PendingGrant {
@@ -267,7 +267,7 @@
             key::KeyRefusal::MayHaveRun(verdict::UncertaintyReason::InProgress) => {
                 &mut self.counters.in_progress
             }
-            key::KeyRefusal::MayHaveRun(_) => &mut self.counters.doubtful,
+            key::KeyRefusal::MayHaveRun(_) => &mut self.counters.uncertain,
             key::KeyRefusal::Mismatch => &mut self.counters.mismatched,
             key::KeyRefusal::Unavailable => &mut self.counters.unavailable,
             key::KeyRefusal::Busy => &mut self.counters.busy,
--- a/crates/anvil_once/src/owner.rs
+++ b/crates/anvil_once/src/owner.rs
@@ -146,9 +146,9 @@
 
     /// How long after its start a node treats an owner that membership never reported as missing.
     ///
-    /// Membership never reports a node that died before this one started. A node without any live
-    /// peer is probably partitioned itself and would take every slot from healthy owners, so it
-    /// waits for much longer.
+    /// Membership never reports a node that crashed before this one started. A node without any
+    /// live peer is probably partitioned itself and would take every slot from healthy owners, so
+    /// it waits for much longer.
     fn unknown_owner_timeout(&self) -> Duration {
         if self.is_alone() {
             self.policy.max_unconfirmed
@@ -204,10 +204,10 @@
                 part,
                 last,
                 records,
-                uncertain_micros: doubt_micros,
+                uncertain_micros,
             } => {
                 self.learn(now, view, None);
-                let uncertainty = Duration::from_micros(doubt_micros);
+                let uncertainty = Duration::from_micros(uncertain_micros);
                 self.handle_copy_part(now, from, &view, (part, last), records);
                 self.set_uncertainty(now, &view, uncertainty);
             }
--- a/crates/anvil_overload/src/admission.rs
+++ b/crates/anvil_overload/src/admission.rs
@@ -395,13 +395,13 @@
 
     /// Passes the current state of the queue on to the cut line.
     fn update_cut(&mut self, now: time::NodeTime) {
-        let view = shedding::QueueSnapshot {
+        let snapshot = shedding::QueueSnapshot {
             service_time: self.estimate.mean(),
             limit: self.limit.current(),
             running: count(self.running.len()),
             standing: self.standing_len(),
         };
-        self.cut.observe(now, view);
+        self.cut.observe(now, snapshot);
     }
 }
 
--- a/crates/anvil_overload/src/cut.rs
+++ b/crates/anvil_overload/src/cut.rs
@@ -64,7 +64,7 @@
     }
 
     /// Records that a request is checked against the line.
-    fn note_request(&mut self, now: time::NodeTime) {
+    fn record_request(&mut self, now: time::NodeTime) {
         let gap = now.since(self.checked).min(MAX_CUT_FRESH);
         self.gap = self.gap - self.gap / GAP_DIVISOR + gap / GAP_DIVISOR;
         self.checked = now;
@@ -124,9 +124,9 @@
     }
 
     /// Records that a request of `kind` is checked against its line.
-    pub fn note_request(&mut self, now: time::NodeTime, kind: kind::CallKind) {
+    pub fn record_request(&mut self, now: time::NodeTime, kind: kind::CallKind) {
         if let Ok(index) = self.search(kind) {
-            self.kinds[index].1.note_request(now);
+            self.kinds[index].1.record_request(now);
         }
     }
 
--- a/crates/anvil_overload/src/policy.rs
+++ b/crates/anvil_overload/src/policy.rs
@@ -64,7 +64,7 @@
     /// Requests that crash their targets are quarantined.
     pub quarantine: bool,
     /// Entry nodes admit requests ahead of the home's count while an account is far below its
-    /// quota; without it, each request waits for the verdict of the account's home.
+    /// quota; without it, each request waits for the decision of the account's home.
     pub tokens_ahead: bool,
 }
 
--- a/crates/anvil_overload/src/quarantine.rs
+++ b/crates/anvil_overload/src/quarantine.rs
@@ -21,38 +21,38 @@
 pub const MAX_SUSPECTS: usize = 2_048;
 
 /// Number of crashes remembered, so that a notice that is received twice counts once.
-pub const MAX_CRASH_MARKS: usize = 256;
+pub const MAX_KNOWN_CRASHES: usize = 256;
 
 /// Slots for the fingerprints of requests that were answered completely, one for each value of the
 /// lowest byte. Requests that many callers send are present at any time; a node spends 4 KB on it.
-const ANSWERED_PRINT_SLOTS: usize = 256;
+const ANSWERED_FINGERPRINT_SLOTS: usize = 256;
 
 /// Fingerprints of requests that were recently answered completely.
 #[derive(Clone, Debug, Default)]
-struct AnsweredPrints {
+struct AnsweredFingerprints {
     slots: Vec<Option<(ident::RequestFingerprint, time::NodeTime)>>,
 }
 
-impl AnsweredPrints {
-    fn insert(&mut self, now: time::NodeTime, print: ident::RequestFingerprint) {
-        self.slots.resize(ANSWERED_PRINT_SLOTS, None);
-        self.slots[slot_of(print)] = Some((print, now));
+impl AnsweredFingerprints {
+    fn insert(&mut self, now: time::NodeTime, fingerprint: ident::RequestFingerprint) {
+        self.slots.resize(ANSWERED_FINGERPRINT_SLOTS, None);
+        self.slots[slot_of(fingerprint)] = Some((fingerprint, now));
     }
 
-    /// Whether `print` was answered completely within [`SUSPECT_TTL`].
-    fn contains(&self, now: time::NodeTime, print: ident::RequestFingerprint) -> bool {
-        let slot = self.slots.get(slot_of(print)).copied().flatten();
-        slot.is_some_and(|(known, at)| known == print && now.since(at) < SUSPECT_TTL)
+    /// Whether `fingerprint` was answered completely within [`SUSPECT_TTL`].
+    fn contains(&self, now: time::NodeTime, fingerprint: ident::RequestFingerprint) -> bool {
+        let slot = self.slots.get(slot_of(fingerprint)).copied().flatten();
+        slot.is_some_and(|(known, at)| known == fingerprint && now.since(at) < SUSPECT_TTL)
     }
 }
 
-fn slot_of(print: ident::RequestFingerprint) -> usize {
-    usize::from(print.0.to_le_bytes()[0])
+fn slot_of(fingerprint: ident::RequestFingerprint) -> usize {
+    usize::from(fingerprint.0.to_le_bytes()[0])
 }
 
 /// Quarantine status of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PrintStatus {
+pub enum QuarantineStatus {
     /// No recent crash involved it.
     Clean,
     /// It was running when a target crashed; it may run, but not beside another suspect.
@@ -78,23 +78,25 @@
 }
 
 #[derive(Clone, Copy, Debug, Serialize)]
-struct RunningPrint {
+struct RunningFingerprint {
     run: u64,
-    print: ident::RequestFingerprint,
+    #[serde(rename = "print")]
+    fingerprint: ident::RequestFingerprint,
     rule: CrashRule,
 }
 
 /// Runs that broke while it is undecided whether the target crashed.
 #[derive(Clone, Debug, Serialize)]
 struct CrashGroup {
-    broken: Vec<RunningPrint>,
+    broken: Vec<RunningFingerprint>,
     /// Runs that were in progress when the first one broke and have not ended yet, sorted.
     waiting: Vec<u64>,
 }
 
 #[derive(Clone, Copy, Debug, Serialize)]
-struct SuspectPrint {
-    print: ident::RequestFingerprint,
+struct SuspectFingerprint {
+    #[serde(rename = "print")]
+    fingerprint: ident::RequestFingerprint,
     strikes: u8,
     alone: bool,
     rule: CrashRule,
@@ -103,7 +105,7 @@
     crash: suspicion::CrashId,
 }
 
-impl SuspectPrint {
+impl SuspectFingerprint {
     /// Whether the crashes exceed the limit of the rule. A single crash may be a coincidence. The
     /// limit applies if in one of the crashes no other suspect was running, which cannot hold for
     /// two requests at once; otherwise [`AMBIGUOUS_CRASH_MARGIN`] more crashes are needed.
@@ -133,12 +135,13 @@
     crashes: u64,
     group: Option<CrashGroup>,
     /// Sorted by run.
-    running: Vec<RunningPrint>,
-    /// Sorted by print.
-    suspects: Vec<SuspectPrint>,
-    marks: VecDeque<suspicion::CrashId>,
+    running: Vec<RunningFingerprint>,
+    /// Sorted by fingerprint.
+    suspects: Vec<SuspectFingerprint>,
+    #[serde(rename = "marks")]
+    known_crashes: VecDeque<suspicion::CrashId>,
     #[serde(skip)]
-    answered_prints: AnsweredPrints,
+    answered_fingerprints: AnsweredFingerprints,
     #[serde(skip)]
     policy: policy::OverloadPolicy,
 }
@@ -152,40 +155,54 @@
             group: None,
             running: Vec::new(),
             suspects: Vec::new(),
-            marks: VecDeque::new(),
-            answered_prints: AnsweredPrints::default(),
+            known_crashes: VecDeque::new(),
+            answered_fingerprints: AnsweredFingerprints::default(),
             policy,
         }
     }
 
-    /// Quarantine status of `print`.
+    /// Quarantine status of `fingerprint`.
     ///
     /// If several instances are lost one after the other for another reason, a request that many
     /// callers send was in progress at each of them and would be refused everywhere for the time of
     /// the quarantine. A request that crashes its targets is never answered, so one that was
     /// answered completely within a minute is not refused; it remains a suspect and runs apart from
     /// other suspects.
-    pub fn status(&self, now: time::NodeTime, print: ident::RequestFingerprint) -> PrintStatus {
-        let Some(suspect) = self.find(print) else {
-            return PrintStatus::Clean;
+    pub fn status(
+        &self,
+        now: time::NodeTime,
+        fingerprint: ident::RequestFingerprint,
+    ) -> QuarantineStatus {
+        let Some(suspect) = self.find(fingerprint) else {
+            return QuarantineStatus::Clean;
         };
         let left = suspect.left(now);
         if !self.policy.quarantine || left.is_zero() {
-            PrintStatus::Clean
-        } else if suspect.exceeds_limit() && !self.answered_prints.contains(now, print) {
-            PrintStatus::Quarantined {
+            QuarantineStatus::Clean
+        } else if suspect.exceeds_limit() && !self.answered_fingerprints.contains(now, fingerprint)
+        {
+            QuarantineStatus::Quarantined {
                 seen: suspect.strikes,
                 allowed: suspect.rule.limit,
                 left,
             }
         } else {
-            PrintStatus::Suspect
+            QuarantineStatus::Suspect
         }
     }
 
     /// Records a run that starts at the local target.
-    pub fn run_started(&mut self, run: u64, print: ident::RequestFingerprint, rule: CrashRule) {
-        let entry = RunningPrint { run, print, rule };
+    pub fn run_started(
+        &mut self,
+        run: u64,
+        fingerprint: ident::RequestFingerprint,
+        rule: CrashRule,
+    ) {
+        let entry = RunningFingerprint {
+            run,
+            fingerprint,
+            rule,
+        };
         let index = self.running.partition_point(|known| known.run < run);
         self.running.insert(index, entry);
     }
@@ -202,7 +219,7 @@
     ) -> Option<suspicion::SuspicionNotice> {
         let entry = self.take(run)?;
         if completed {
-            self.answered(now, entry.print);
+            self.answered(now, entry.fingerprint);
         }
         let group = self.group.as_mut()?;
         let index = group.waiting.binary_search(&run).ok()?;
@@ -221,9 +238,9 @@
     ///
     /// Without the answers of other nodes, a caller's node without a local target would add up the
     /// lost attempts of a minute and refuse requests that all targets serve.
-    pub fn answered(&mut self, now: time::NodeTime, print: ident::RequestFingerprint) {
-        self.answered_prints.insert(now, print);
-        self.clear(print);
+    pub fn answered(&mut self, now: time::NodeTime, fingerprint: ident::RequestFingerprint) {
+        self.answered_fingerprints.insert(now, fingerprint);
+        self.clear(fingerprint);
     }
 
     /// Records a run whose connection broke.
@@ -259,23 +276,33 @@
         now: time::NodeTime,
         peer: ident::NodeId,
         service: &name::ServiceName,
-        prints: &[(ident::RequestFingerprint, CrashRule)],
+        fingerprints: &[(ident::RequestFingerprint, CrashRule)],
     ) -> suspicion::SuspicionNotice {
         let crash = suspicion::CrashId {
             node: peer,
             sequence: 0,
         };
-        let suspected =
-            |print: ident::RequestFingerprint| self.status(now, print) != PrintStatus::Clean;
-        let suspects = prints.iter().filter(|(print, _)| suspected(*print)).count();
-        let strikes = prints
+        let suspected = |fingerprint: ident::RequestFingerprint| {
+            self.status(now, fingerprint) != QuarantineStatus::Clean
+        };
+        let suspects = fingerprints
             .iter()
-            .map(|(print, rule)| strike(*print, *rule, suspects == 1 && suspected(*print)))
+            .filter(|(fingerprint, _)| suspected(*fingerprint))
+            .count();
+        let suspect_requests = fingerprints
+            .iter()
+            .map(|(fingerprint, rule)| {
+                suspect_request(
+                    *fingerprint,
+                    *rule,
+                    suspects == 1 && suspected(*fingerprint),
+                )
+            })
             .collect();
         let notice = suspicion::SuspicionNotice {
             crash,
             service: service.clone(),
-            suspects: strikes,
+            suspects: suspect_requests,
         };
         self.apply(now, &notice);
         notice
@@ -290,7 +317,7 @@
         // Notices without a sequence number come from callers' nodes, each of which knows only its
         // own share of the requests of a lost node.
         let has_sequence = notice.crash.sequence > 0;
-        if has_sequence && self.marks.contains(&notice.crash) {
+        if has_sequence && self.known_crashes.contains(&notice.crash) {
             return false;
         }
         self.apply(now, notice);
@@ -307,8 +334,8 @@
         self.suspects.is_empty()
     }
 
-    fn clear(&mut self, print: ident::RequestFingerprint) {
-        let Ok(index) = self.search(print) else {
+    fn clear(&mut self, fingerprint: ident::RequestFingerprint) {
+        let Ok(index) = self.search(fingerprint) else {
             return;
         };
         let suspect = &mut self.suspects[index];
@@ -337,42 +364,44 @@
                 sequence: self.crashes,
             },
             service: service.clone(),
-            suspects: self.strikes(now, &group.broken),
+            suspects: self.suspect_requests(now, &group.broken),
         };
         self.apply(now, &notice);
         Some(notice)
     }
 
-    /// Returns the strikes for the runs of a crash.
+    /// Returns the requests of a crash that each get a strike.
     ///
     /// Requests that merely ran beside the one that crashes the target must not be quarantined. If
     /// exactly one of them was a suspect, only it gets a strike; otherwise all become suspects and
     /// run apart from now on. A request that broke with no other beside it may have hit a broken
     /// connection, so it does not count as alone.
-    fn strikes(
+    fn suspect_requests(
         &self,
         now: time::NodeTime,
-        broken: &[RunningPrint],
+        broken: &[RunningFingerprint],
     ) -> Vec<suspicion::SuspectRequest> {
-        let suspected = |known: &&RunningPrint| self.status(now, known.print) != PrintStatus::Clean;
+        let suspected = |known: &&RunningFingerprint| {
+            self.status(now, known.fingerprint) != QuarantineStatus::Clean
+        };
         let mut suspects = broken.iter().filter(suspected);
         let first = suspects.next().filter(|_| broken.len() > 1);
         match first.filter(|_| suspects.next().is_none()) {
-            Some(known) => vec![strike(known.print, known.rule, true)],
+            Some(known) => vec![suspect_request(known.fingerprint, known.rule, true)],
             None => broken
                 .iter()
-                .map(|known| strike(known.print, known.rule, false))
+                .map(|known| suspect_request(known.fingerprint, known.rule, false))
                 .collect(),
         }
     }
 
     fn apply(&mut self, now: time::NodeTime, notice: &suspicion::SuspicionNotice) {
-        if self.marks.len() == MAX_CRASH_MARKS {
-            self.marks.pop_front();
+        if self.known_crashes.len() == MAX_KNOWN_CRASHES {
+            self.known_crashes.pop_front();
         }
-        self.marks.push_back(notice.crash);
-        for strike in &notice.suspects {
-            self.strike(now, notice.crash, strike);
+        self.known_crashes.push_back(notice.crash);
+        for suspect_request in &notice.suspects {
+            self.add_strike(now, notice.crash, suspect_request);
         }
     }
 
@@ -381,17 +410,17 @@
     /// A frequent request may be running many times at a node that is lost, and each caller's node
     /// reports its own share. Counted for each run, one loss would give the request enough strikes
     /// to be refused everywhere. A crash therefore adds at most one strike to a fingerprint.
-    fn strike(
+    fn add_strike(
         &mut self,
         now: time::NodeTime,
         crash: suspicion::CrashId,
-        strike: &suspicion::SuspectRequest,
+        suspect_request: &suspicion::SuspectRequest,
     ) {
         let rule = CrashRule {
-            limit: strike.crash_limit,
-            quarantine: Duration::from_secs(u64::from(strike.quarantine_seconds)),
+            limit: suspect_request.crash_limit,
+            quarantine: Duration::from_secs(u64::from(suspect_request.quarantine_seconds)),
         };
-        match self.search(strike.fingerprint) {
+        match self.search(suspect_request.fingerprint) {
             Ok(index) => {
                 let suspect = &mut self.suspects[index];
                 let stale = suspect.left(now).is_zero();
@@ -404,14 +433,14 @@
                 } else {
                     suspect.strikes.saturating_add(1)
                 };
-                suspect.alone = strike.alone || (suspect.alone && !stale);
+                suspect.alone = suspect_request.alone || (suspect.alone && !stale);
                 suspect.struck = now;
                 suspect.rule = rule;
             }
-            Err(_) => self.add(SuspectPrint {
-                print: strike.fingerprint,
+            Err(_) => self.add(SuspectFingerprint {
+                fingerprint: suspect_request.fingerprint,
                 strikes: 1,
-                alone: strike.alone,
+                alone: suspect_request.alone,
                 rule,
                 struck: now,
                 crash,
@@ -419,7 +448,7 @@
         }
     }
 
-    fn add(&mut self, suspect: SuspectPrint) {
+    fn add(&mut self, suspect: SuspectFingerprint) {
         if self.suspects.len() == MAX_SUSPECTS {
             let oldest = |index: &usize| {
                 let known = &self.suspects[*index];
@@ -431,32 +460,34 @@
         }
         let index = self
             .suspects
-            .partition_point(|known| known.print < suspect.print);
+            .partition_point(|known| known.fingerprint < suspect.fingerprint);
         self.suspects.insert(index, suspect);
     }
 
-    fn take(&mut self, run: u64) -> Option<RunningPrint> {
+    fn take(&mut self, run: u64) -> Option<RunningFingerprint> {
         let index = self.running.binary_search_by_key(&run, |known| known.run);
         Some(self.running.remove(index.ok()?))
     }
 
-    fn search(&self, print: ident::RequestFingerprint) -> Result<usize, usize> {
+    fn search(&self, fingerprint: ident::RequestFingerprint) -> Result<usize, usize> {
         self.suspects
-            .binary_search_by_key(&print, |known| known.print)
+            .binary_search_by_key(&fingerprint, |known| known.fingerprint)
     }
 
-    fn find(&self, print: ident::RequestFingerprint) -> Option<&SuspectPrint> {
-        self.search(print).ok().map(|index| &self.suspects[index])
+    fn find(&self, fingerprint: ident::RequestFingerprint) -> Option<&SuspectFingerprint> {
+        self.search(fingerprint)
+            .ok()
+            .map(|index| &self.suspects[index])
     }
 }
 
-fn strike(
-    print: ident::RequestFingerprint,
+fn suspect_request(
+    fingerprint: ident::RequestFingerprint,
     rule: CrashRule,
     alone: bool,
 ) -> suspicion::SuspectRequest {
     suspicion::SuspectRequest {
-        fingerprint: print,
+        fingerprint,
         alone,
         crash_limit: rule.limit,
         quarantine_seconds: u32::try_from(rule.quarantine.as_secs()).unwrap_or(u32::MAX),
--- a/crates/anvil_overload/src/ratio.rs
+++ b/crates/anvil_overload/src/ratio.rs
@@ -94,14 +94,17 @@
     /// Micro-retries added in the current window.
     present: u64,
     /// Micro-retries added in the previous windows, as a ring buffer.
-    former: [u64; SHARE_WINDOWS],
+    #[serde(rename = "former")]
+    previous: [u64; SHARE_WINDOWS],
     next: usize,
     /// Completed windows, up to [`SHARE_WINDOWS`].
     ended: usize,
     /// Micro-retries requested at each priority step in the current window, and in the previous
     /// one.
-    asked: DemandSums,
-    former_asked: DemandSums,
+    #[serde(rename = "asked")]
+    requested: DemandSums,
+    #[serde(rename = "former_asked")]
+    previous_requested: DemandSums,
 }
 
 /// Priority steps: within each class, one step for each class that the rules assign.
@@ -122,11 +125,11 @@
         Self {
             began: now,
             present: 0,
-            former: [0; SHARE_WINDOWS],
+            previous: [0; SHARE_WINDOWS],
             next: 0,
             ended: 0,
-            asked: [0; PRIORITY_STEPS],
-            former_asked: [0; PRIORITY_STEPS],
+            requested: [0; PRIORITY_STEPS],
+            previous_requested: [0; PRIORITY_STEPS],
         }
     }
 
@@ -136,18 +139,18 @@
         let over = u32::try_from(over).unwrap_or(u32::MAX);
         // More empty windows than the ring buffer holds change nothing.
         for _ in 0..(over as usize).min(SHARE_WINDOWS + 1) {
-            self.former[self.next] = std::mem::take(&mut self.present);
+            self.previous[self.next] = std::mem::take(&mut self.present);
             self.next = (self.next + 1) % SHARE_WINDOWS;
             self.ended = (self.ended + 1).min(SHARE_WINDOWS);
-            self.former_asked = std::mem::take(&mut self.asked);
+            self.previous_requested = std::mem::take(&mut self.requested);
         }
         self.began = self.began + SHARE_WINDOW * over;
     }
 
     /// Micro-retries requested above `step` within the last window.
     fn demand_above(&self, step: usize) -> u64 {
-        let sum = |asked: &DemandSums| asked[step + 1..].iter().sum::<u64>();
-        sum(&self.asked).max(sum(&self.former_asked))
+        let sum = |demand: &DemandSums| demand[step + 1..].iter().sum::<u64>();
+        sum(&self.requested).max(sum(&self.previous_requested))
     }
 
     /// Whether enough windows have passed for their mean to set the refill rate.
@@ -157,7 +160,7 @@
 
     /// Mean refill of a window.
     fn mean(&self) -> u64 {
-        self.former.iter().sum::<u64>() / SHARE_WINDOWS as u64
+        self.previous.iter().sum::<u64>() / SHARE_WINDOWS as u64
     }
 }
 
@@ -215,11 +218,11 @@
     fn reserve_above(&mut self, rank: &rank::CallRank) -> u64 {
         let capacity = self.capacity();
         let step = step(rank);
-        self.share.asked[step] += MICROS_PER_RETRY;
+        self.share.requested[step] += MICROS_PER_RETRY;
         let above = match step + 1 < PRIORITY_STEPS {
             true => {
-                let asked = self.share.demand_above(step) + BASE_CLASS_RESERVE;
-                (capacity * CLASS_RESERVE_PERCENT / 100).min(asked)
+                let demand = self.share.demand_above(step) + BASE_CLASS_RESERVE;
+                (capacity * CLASS_RESERVE_PERCENT / 100).min(demand)
             }
             false => 0,
         };
--- a/crates/anvil_overload/src/refusal.rs
+++ b/crates/anvil_overload/src/refusal.rs
@@ -91,7 +91,8 @@
     /// The node that enforced the limit.
     pub by: ident::NodeId,
     /// The rule and the revision that set the limit.
-    pub mark: treatment::RuleReference,
+    #[serde(rename = "mark")]
+    pub rule: treatment::RuleReference,
 }
 
 /// The most recent refusals of this node, the oldest first.
--- a/crates/anvil_overload/src/routing/choice.rs
+++ b/crates/anvil_overload/src/routing/choice.rs
@@ -80,7 +80,7 @@
         policy: policy::OverloadPolicy,
         source: &mut Pcg32,
     ) -> routing::RouteChoice {
-        self.deep.note_request(now, query.kind);
+        self.deep.record_request(now, query.kind);
         if !policy.better_of_two {
             return self.next_in_turn(now, query, policy);
         }
@@ -193,8 +193,8 @@
     /// With the lowest level, requests that only one target admits would arrive from all nodes at
     /// once; with the highest, one overloaded target would refuse requests that the others could
     /// run. If enough targets have reported their lines, the others are assumed to be alike.
-    /// Otherwise a node that receives answers from a tenth of a large service would refuse nothing,
-    /// and its requests would be refused by one target after the other.
+    /// Without this assumption a node that receives answers from only a tenth of a large service
+    /// would refuse nothing, and its requests would be refused by one target after the other.
     fn median_level(&self, now: time::NodeTime, exclude: &[ident::NodeId]) -> u16 {
         if now >= self.lines_until {
             return 0;
--- a/crates/anvil_overload/src/routing/health.rs
+++ b/crates/anvil_overload/src/routing/health.rs
@@ -37,8 +37,9 @@
 
 /// Ejects the target at `index` if it fails more than its peers.
 ///
-/// A network fault at this node makes every target look dead. Without a floor all targets would be
-/// ejected and the service would become unavailable; the floor keeps at least half of them.
+/// A network fault at this node makes every target appear to have failed. Without a floor all
+/// targets would be ejected and the service would become unavailable; the floor keeps at least half
+/// of them.
 pub(super) fn update_ejection(
     now: time::NodeTime,
     targets: &mut [target::TargetRoute],
--- a/crates/anvil_overload/src/shedding.rs
+++ b/crates/anvil_overload/src/shedding.rs
@@ -75,7 +75,8 @@
     admitted: u32,
     overflowed: u32,
     least_standing: usize,
-    former_standing: usize,
+    #[serde(rename = "former_standing")]
+    previous_standing: usize,
     #[serde(skip)]
     snapshot: QueueSnapshot,
     #[serde(skip)]
@@ -97,7 +98,7 @@
             admitted: 0,
             overflowed: 0,
             least_standing: 0,
-            former_standing: 0,
+            previous_standing: 0,
             snapshot: QueueSnapshot::default(),
             demand: demand::LevelDemand::default(),
             policy,
@@ -186,7 +187,7 @@
         self.busy_micros = 0;
         self.admitted = 0;
         self.overflowed = 0;
-        self.former_standing = self.least_standing;
+        self.previous_standing = self.least_standing;
         self.least_standing = self.snapshot.standing;
     }
 
@@ -206,7 +207,7 @@
         self.step = RELEASE_STEP;
         let admitted = f64::from(self.admitted.max(1));
         let excess = 1.0 - self.capacity(span) * OVERBOOKING / admitted;
-        let drains = self.overflowed == 0 && self.least_standing < self.former_standing;
+        let drains = self.overflowed == 0 && self.least_standing < self.previous_standing;
         if excess <= 0.0 && drains {
             return;
         }
--- a/crates/anvil_overload/tests/quarantine.rs
+++ b/crates/anvil_overload/tests/quarantine.rs
@@ -6,7 +6,7 @@
 use anvil_types::{ident, name, time};
 use anvil_wire::suspicion;
 
-use quarantine::PrintStatus;
+use quarantine::QuarantineStatus;
 
 const RULE: quarantine::CrashRule = quarantine::CrashRule {
     limit: 2,
@@ -48,9 +48,12 @@
 fn is_quarantined(
     list: &quarantine::PoisonList,
     now: time::NodeTime,
-    print: ident::RequestFingerprint,
+    fingerprint: ident::RequestFingerprint,
 ) -> bool {
-    matches!(list.status(now, print), PrintStatus::Quarantined { .. })
+    matches!(
+        list.status(now, fingerprint),
+        QuarantineStatus::Quarantined { .. }
+    )
 }
 
 // A request crashes a target beside 39 others, is resent through another entry node to another
@@ -60,9 +63,9 @@
 fn second_crash_quarantines_only_the_poison() {
     let (mut first, mut second) = (list(1), list(2));
     let notice = crash(&mut first, at(0), 1..40);
-    assert_eq!(first.status(at(1), POISON), PrintStatus::Suspect);
+    assert_eq!(first.status(at(1), POISON), QuarantineStatus::Suspect);
     assert!(second.apply_notice(at(2), &notice));
-    assert_eq!(second.status(at(3), POISON), PrintStatus::Suspect);
+    assert_eq!(second.status(at(3), POISON), QuarantineStatus::Suspect);
     let notice = crash(&mut second, at(5), 100..139);
     assert!(is_quarantined(&second, at(6), POISON));
     assert!(first.apply_notice(at(7), &notice));
@@ -76,7 +79,7 @@
     }
     // The others at the second crash are not even suspects, because a known suspect was running.
     let beside = ident::RequestFingerprint(100);
-    assert_eq!(first.status(at(8), beside), PrintStatus::Clean);
+    assert_eq!(first.status(at(8), beside), QuarantineStatus::Clean);
 }
 
 // Other requests run beside the poison in two crashes before any notice arrives. Two ambiguous
@@ -91,9 +94,9 @@
     lists[0].apply_notice(at(1), &notices[1]);
     assert_eq!(
         lists[0].status(at(2), ident::RequestFingerprint(1)),
-        PrintStatus::Suspect
+        QuarantineStatus::Suspect
     );
-    assert_eq!(lists[0].status(at(2), POISON), PrintStatus::Suspect);
+    assert_eq!(lists[0].status(at(2), POISON), QuarantineStatus::Suspect);
     crash(&mut lists[0], at(3), 1..5);
     crash(&mut lists[0], at(4), 6..9);
     assert!(is_quarantined(&lists[0], at(5), POISON));
@@ -113,12 +116,12 @@
     list.run_ended(at(1), 7, true, &service());
     assert_eq!(
         list.status(at(1), ident::RequestFingerprint(1)),
-        PrintStatus::Clean
+        QuarantineStatus::Clean
     );
     crash(&mut list, at(2), 20..23);
     assert!(is_quarantined(&list, at(3), POISON));
     let over = at(2) + RULE.quarantine;
-    assert_eq!(list.status(over, POISON), PrintStatus::Clean);
+    assert_eq!(list.status(over, POISON), QuarantineStatus::Clean);
 }
 
 // A notice that arrives twice counts once.
@@ -128,7 +131,7 @@
     let notice = crash(&mut self::list(2), at(0), 1..2);
     assert!(list.apply_notice(at(1), &notice));
     assert!(!list.apply_notice(at(2), &notice));
-    assert_eq!(list.status(at(3), POISON), PrintStatus::Suspect);
+    assert_eq!(list.status(at(3), POISON), QuarantineStatus::Suspect);
 }
 
 // A node is lost while it runs requests of this one. The network may be the cause, so one loss only
@@ -136,11 +139,11 @@
 #[test]
 fn lost_nodes_quarantine_only_lone_suspects() {
     let mut list = list(1);
-    let prints = [(POISON, RULE), (ident::RequestFingerprint(1), RULE)];
-    list.peer_lost(at(0), ident::NodeId(2), &service(), &prints);
-    assert_eq!(list.status(at(1), POISON), PrintStatus::Suspect);
-    let prints = [(POISON, RULE), (ident::RequestFingerprint(2), RULE)];
-    list.peer_lost(at(2), ident::NodeId(3), &service(), &prints);
+    let fingerprints = [(POISON, RULE), (ident::RequestFingerprint(1), RULE)];
+    list.peer_lost(at(0), ident::NodeId(2), &service(), &fingerprints);
+    assert_eq!(list.status(at(1), POISON), QuarantineStatus::Suspect);
+    let fingerprints = [(POISON, RULE), (ident::RequestFingerprint(2), RULE)];
+    list.peer_lost(at(2), ident::NodeId(3), &service(), &fingerprints);
     assert!(is_quarantined(&list, at(3), POISON));
     assert!(!is_quarantined(&list, at(3), ident::RequestFingerprint(1)));
     assert!(!is_quarantined(&list, at(3), ident::RequestFingerprint(2)));
@@ -154,8 +157,8 @@
     crash(&mut list, at(1), 2..3);
     assert!(is_quarantined(&list, at(2), POISON));
     for round in 0..100_u64 {
-        let strike = |print| suspicion::SuspectRequest {
-            fingerprint: ident::RequestFingerprint(1_000 + round * 100 + print),
+        let suspect_request = |number| suspicion::SuspectRequest {
+            fingerprint: ident::RequestFingerprint(1_000 + round * 100 + number),
             alone: false,
             crash_limit: 2,
             quarantine_seconds: 600,
@@ -167,7 +170,7 @@
         let notice = suspicion::SuspicionNotice {
             crash,
             service: service(),
-            suspects: (0..100).map(strike).collect(),
+            suspects: (0..100).map(suspect_request).collect(),
         };
         list.apply_notice(at(3 + round), &notice);
     }
@@ -223,7 +226,7 @@
         for notice in &notices {
             list.apply_notice(at(1), notice);
         }
-        assert_eq!(list.status(at(2), POISON), PrintStatus::Suspect);
+        assert_eq!(list.status(at(2), POISON), QuarantineStatus::Suspect);
     }
     // A second node is lost while running it as the only suspect: two crashes, one of them alone.
     lists[0].peer_lost(at(3), ident::NodeId(8), &service(), &in_progress[..1]);
@@ -238,19 +241,19 @@
 fn answers_of_other_nodes_take_strikes_back() {
     let mut list = list(1);
     for loss in 0..6 {
-        let prints = [(POISON, RULE), (ident::RequestFingerprint(50 + loss), RULE)];
+        let fingerprints = [(POISON, RULE), (ident::RequestFingerprint(50 + loss), RULE)];
         list.peer_lost(
             at(loss * 1_000),
             ident::NodeId(20 + loss),
             &service(),
-            &prints,
+            &fingerprints,
         );
         list.answered(at(loss * 1_000 + 500), POISON);
     }
-    assert_eq!(list.status(at(6_000), POISON), PrintStatus::Clean);
+    assert_eq!(list.status(at(6_000), POISON), QuarantineStatus::Clean);
 }
 
-// Six nodes are lost within half a second for a reason of their own, and each was running the same
+// Six nodes are lost within half a second for an unrelated reason, and each was running the same
 // frequent request. It was answered just before, so it cannot be the cause and is not refused. A
 // request that was never answered is refused after the same losses.
 #[test]
@@ -263,11 +266,11 @@
         list.peer_lost(at(100 + loss * 80), node, &service(), &[(page, RULE)]);
         list.peer_lost(at(100 + loss * 80), node, &service(), &[(POISON, RULE)]);
     }
-    assert_eq!(list.status(at(700), page), PrintStatus::Suspect);
+    assert_eq!(list.status(at(700), page), QuarantineStatus::Suspect);
     assert!(is_quarantined(&list, at(700), POISON));
     // It is answered again, and then another request evicts it from the answered ones. It has no
     // strikes left.
     list.answered(at(800), page);
     list.answered(at(900), ident::RequestFingerprint(7 + 256));
-    assert_eq!(list.status(at(1_000), page), PrintStatus::Clean);
+    assert_eq!(list.status(at(1_000), page), QuarantineStatus::Clean);
 }
--- a/crates/anvil_quota/examples/quota_ways.rs
+++ b/crates/anvil_quota/examples/quota_ways.rs
@@ -1,5 +1,5 @@
 //! Compares methods to enforce an account's quota over a fleet: tokens taken ahead of the home's
-//! count, a verdict for each request, and counts that every node publishes to all others.
+//! count, a decision for each request, and counts that every node publishes to all others.
 //!
 //! `cargo run --release -p anvil_quota --example quota_ways`
 
--- a/crates/anvil_quota/src/entry.rs
+++ b/crates/anvil_quota/src/entry.rs
@@ -1,4 +1,4 @@
-//! One account at an entry node: its admitted and waiting requests, and the last verdict of its
+//! One account at an entry node: its admitted and waiting requests, and the last decision of its
 //! home.
 
 use std::collections::VecDeque;
@@ -20,7 +20,7 @@
 /// shortly before are counted at a home that is not reachable.
 const STANDALONE_BURST_SECONDS: f64 = 0.25;
 
-/// A request that waits for the home's verdict.
+/// A request that waits for the home's decision.
 #[derive(Clone, Copy, Debug)]
 struct WaitingCall {
     /// `None` if its caller has gone away.
@@ -35,13 +35,13 @@
     /// The home of the current session; `None` if no home answers.
     pub home: Option<ident::NodeId>,
     session: u32,
-    /// Term of the home's count in this session; zero before its first verdict.
+    /// Term of the home's count in this session; zero before its first decision.
     term: u32,
     /// Requests admitted ahead of the count in this session, minus tokens given back; wraps.
     spent: i32,
     /// The part of `spent` that the home has counted.
     acknowledged: i32,
-    /// Verdicts requested in this session, and those of them that were granted.
+    /// Decisions requested in this session, and those of them that were granted.
     requested: u32,
     granted: u32,
     ahead: u16,
@@ -108,7 +108,7 @@
     }
 
     /// Records whether the home stands in for others that did not answer.
-    pub fn note_stand_in(&mut self, stands_in: bool) {
+    pub fn set_stand_in(&mut self, stands_in: bool) {
         self.stands_in = stands_in || self.queries_again;
     }
 
@@ -118,7 +118,7 @@
         self.unsent = true;
     }
 
-    /// Admits a request ahead of the home's count if the last verdict allows it.
+    /// Admits a request ahead of the home's count if the last decision allows it.
     pub fn spend_ahead(&mut self, now: time::NodeTime) -> bool {
         let uncounted = self.spent.wrapping_sub(self.acknowledged);
         let allowed = uncounted < i32::from(self.ahead);
@@ -130,7 +130,7 @@
         allowed
     }
 
-    /// Queues a request for the home's verdict.
+    /// Queues a request for the home's decision.
     pub fn enqueue(&mut self, call: u64) {
         self.requested += 1;
         self.unsent = true;
@@ -188,36 +188,36 @@
         waiting.filter_map(|waiting| waiting.call).collect()
     }
 
-    /// Whether a verdict answers a report of the current session.
-    pub fn matches_session(&self, from: ident::NodeId, verdict: quota::UsageDecision) -> bool {
-        self.home == Some(from) && verdict.session == self.session
+    /// Whether a decision answers a report of the current session.
+    pub fn matches_session(&self, from: ident::NodeId, decision: quota::UsageDecision) -> bool {
+        self.home == Some(from) && decision.session == self.session
     }
 
     /// Whether the home no longer has the count that this session refers to.
-    pub fn is_outdated(&self, from: ident::NodeId, verdict: quota::UsageDecision) -> bool {
-        self.matches_session(from, verdict) && self.term != 0 && verdict.term != self.term
+    pub fn is_outdated(&self, from: ident::NodeId, decision: quota::UsageDecision) -> bool {
+        self.matches_session(from, decision) && self.term != 0 && decision.term != self.term
     }
 
-    /// Applies a verdict of the home.
-    pub fn apply_verdict(
+    /// Applies a decision of the home.
+    pub fn apply_decision(
         &mut self,
         now: time::NodeTime,
         from: ident::NodeId,
-        verdict: quota::UsageDecision,
+        decision: quota::UsageDecision,
     ) -> Vec<effect::QuotaEffect> {
-        if !self.matches_session(from, verdict) || verdict.granted < self.granted {
+        if !self.matches_session(from, decision) || decision.granted < self.granted {
             return Vec::new();
         }
-        self.term = verdict.term;
-        self.acknowledged = verdict.spent;
-        self.ahead = verdict.ahead;
+        self.term = decision.term;
+        self.acknowledged = decision.spent;
+        self.ahead = decision.ahead;
         self.sends = 0;
-        let mut new_grants = verdict.granted - self.granted;
-        self.granted = verdict.granted;
-        let pause = Duration::from_millis(u64::from(verdict.retry_after_millis));
+        let mut new_grants = decision.granted - self.granted;
+        self.granted = decision.granted;
+        let pause = Duration::from_millis(u64::from(decision.retry_after_millis));
         let mut effects = Vec::new();
         while let Some(front) = self.waiting.front().copied() {
-            if front.sequence > verdict.asked {
+            if front.sequence > decision.asked {
                 break;
             }
             self.waiting.pop_front();
@@ -282,7 +282,7 @@
         self.resend_at
     }
 
-    /// Number of requests that wait for the home's verdict.
+    /// Number of requests that wait for the home's decision.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
--- a/crates/anvil_quota/src/handover.rs
+++ b/crates/anvil_quota/src/handover.rs
@@ -15,8 +15,8 @@
 /// Time after which an unanswered handover is sent again.
 const RESEND_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Number of times that a handover is sent; if the home has died by then, membership soon removes
-/// it.
+/// Number of times that a handover is sent; if the home has crashed by then, membership soon
+/// removes it.
 const MAX_SENDS: u8 = 10;
 
 /// A handover that was not confirmed yet.
--- a/crates/anvil_quota/src/home.rs
+++ b/crates/anvil_quota/src/home.rs
@@ -13,8 +13,8 @@
 /// meanwhile.
 const INITIAL_TOKENS: f64 = 8.0;
 
-/// Share of the capacity below which each request needs a verdict. Requests that other nodes admit
-/// before they receive that verdict come out of this share.
+/// Share of the capacity below which each request needs a decision. Requests that other nodes admit
+/// before they receive that decision come out of this share.
 const RESERVE_SHARE: f64 = 0.5;
 
 /// Share of the tokens above the reserve that all nodes together may use ahead of the count.
@@ -56,7 +56,7 @@
     last_report: time::NodeTime,
     session: u32,
     spent: i32,
-    asked: u32,
+    requested: u32,
     granted: u32,
     /// Number of requests that it may admit ahead of the count.
     ahead: u16,
@@ -85,8 +85,8 @@
     has_full_rate: bool,
 }
 
-/// A verdict and its destination.
-pub type AddressedVerdict = (SocketAddr, quota::UsageDecision);
+/// A decision and its destination.
+pub type AddressedDecision = (SocketAddr, quota::UsageDecision);
 
 impl HomeAccount {
     /// Creates a home with `tokens` in its bucket.
@@ -201,7 +201,7 @@
         if !self.bucket.take() {
             return Err(self.bucket.time_until_token(size));
         }
-        self.note_uses(self.last_used, 1);
+        self.count_uses(self.last_used, 1);
         Ok(())
     }
 
@@ -213,7 +213,7 @@
     /// Gives back the token of a request that did not run.
     pub fn give_back(&mut self, size: bucket::BucketSize) {
         self.bucket.charge(-1, size);
-        self.note_uses(self.last_used, -1);
+        self.count_uses(self.last_used, -1);
     }
 
     /// Counts the requests that an entry node has admitted, and decides those that wait there.
@@ -234,7 +234,7 @@
             // The home no longer has the count that the session refers to, so its sums have no
             // meaning here.
             _ if report.term != 0 && report.term != self.term => {
-                return Some(self.new_session_verdict(report));
+                return Some(self.new_session_decision(report));
             }
             Some(known) if report.session == known.session => known,
             _ => EntryNode {
@@ -242,7 +242,7 @@
                 last_report: now,
                 session: report.session,
                 spent: 0,
-                asked: 0,
+                requested: 0,
                 granted: 0,
                 ahead: 0,
             },
@@ -251,46 +251,46 @@
         entry.address = address;
         // A report that was overtaken requests fewer tokens than were decided already, and contains
         // nothing new.
-        if report.asked >= entry.asked {
+        if report.asked >= entry.requested {
             let spent = report.spent.wrapping_sub(entry.spent);
             self.bucket.charge(spent, size);
-            self.note_uses(now, spent);
+            self.count_uses(now, spent);
             entry.spent = report.spent;
-            for _ in entry.asked..report.asked {
+            for _ in entry.requested..report.asked {
                 if !self.bucket.take() {
                     break;
                 }
                 entry.granted += 1;
-                self.note_uses(now, 1);
+                self.count_uses(now, 1);
             }
-            entry.asked = report.asked;
+            entry.requested = report.asked;
         }
         let entry_nodes = self.entries.len() + usize::from(known.is_none());
         entry.ahead = self.ahead(size, entry_nodes);
         self.entries.insert(node, entry);
-        Some(self.verdict(size, report.account, &entry))
+        Some(self.usage_decision(size, report.account, &entry))
     }
 
-    /// Verdicts that end admission ahead of the count at all nodes, if the account has come near
+    /// Decisions that end admission ahead of the count at all nodes, if the account has come near
     /// its quota.
     pub fn revoke_ahead(
         &mut self,
         size: bucket::BucketSize,
         account: account::AccountId,
-    ) -> Vec<AddressedVerdict> {
+    ) -> Vec<AddressedDecision> {
         if self.ahead(size, self.entries.len()) > 0 {
             return Vec::new();
         }
         let nodes_ahead = self.entries.keys_where(|entry| entry.ahead > 0);
-        let mut verdicts = Vec::with_capacity(nodes_ahead.len());
+        let mut decisions = Vec::with_capacity(nodes_ahead.len());
         for node in nodes_ahead {
             if let Some(entry) = self.entries.get_mut(node) {
                 entry.ahead = 0;
                 let entry = *entry;
-                verdicts.push((entry.address, self.verdict(size, account, &entry)));
+                decisions.push((entry.address, self.usage_decision(size, account, &entry)));
             }
         }
-        verdicts
+        decisions
     }
 
     /// Removes entry nodes that have not reported for long.
@@ -303,7 +303,7 @@
             .retain(|counted| now.since(counted.at) < ENTRY_TTL);
     }
 
-    fn note_uses(&mut self, now: time::NodeTime, uses: i32) {
+    fn count_uses(&mut self, now: time::NodeTime, uses: i32) {
         if self.has_full_rate {
             self.recent.count(now, uses);
         }
@@ -325,8 +325,8 @@
         each.clamp(1.0, MAX_AHEAD) as u16
     }
 
-    /// A verdict that makes an entry node begin a new session.
-    fn new_session_verdict(&self, report: quota::UsageReport) -> quota::UsageDecision {
+    /// A decision that makes an entry node begin a new session.
+    fn new_session_decision(&self, report: quota::UsageReport) -> quota::UsageDecision {
         quota::UsageDecision {
             account: report.account,
             session: report.session,
@@ -340,7 +340,7 @@
         }
     }
 
-    fn verdict(
+    fn usage_decision(
         &self,
         size: bucket::BucketSize,
         account: account::AccountId,
@@ -352,7 +352,7 @@
             session: entry.session,
             term: self.term,
             spent: entry.spent,
-            asked: entry.asked,
+            asked: entry.requested,
             granted: entry.granted,
             ahead: entry.ahead,
             retry_after_millis: u32::try_from(pause).unwrap_or(u32::MAX),
--- a/crates/anvil_quota/src/ledger.rs
+++ b/crates/anvil_quota/src/ledger.rs
@@ -29,7 +29,7 @@
 pub enum TokenMode {
     /// Ahead of the home's count, while the account is far below its quota.
     Ahead,
-    /// Each request waits for the home's verdict.
+    /// Each request waits for the home's decision.
     #[serde(rename = "Ask")]
     PerRequest,
 }
@@ -39,7 +39,7 @@
 pub struct QuotaCounters {
     /// Requests admitted without waiting for another node.
     pub granted_at_once: u64,
-    /// Requests admitted by a verdict of another node.
+    /// Requests admitted by a decision of another node.
     pub granted_by_home: u64,
     /// Requests refused because they exceed their account's quota.
     pub refused: u64,
@@ -277,12 +277,10 @@
             quota::QuotaMessage::Report { reports: uses } => {
                 self.on_report(now, (from, address), uses, &mut out);
             }
-            quota::QuotaMessage::Decision {
-                decisions: verdicts,
-            } => {
+            quota::QuotaMessage::Decision { decisions } => {
                 self.silent_nodes.remove(from);
-                for verdict in verdicts {
-                    self.on_verdict(now, from, *verdict, &mut out);
+                for decision in decisions {
+                    self.on_decision(now, from, *decision, &mut out);
                 }
             }
             quota::QuotaMessage::SuccessorProbe => self.on_behind(now, (from, address), &mut out),
@@ -399,6 +397,6 @@
     pub tokens: Option<f64>,
     /// Number of requests that may be admitted ahead of the home's count.
     pub ahead: u16,
-    /// Number of requests that wait for the home's verdict.
+    /// Number of requests that wait for the home's decision.
     pub waiting: usize,
 }
--- a/crates/anvil_quota/src/ledger/entry_role.rs
+++ b/crates/anvil_quota/src/ledger/entry_role.rs
@@ -1,4 +1,4 @@
-//! The ledger as an entry node: it resolves the home of an account and applies its verdicts.
+//! The ledger as an entry node: it resolves the home of an account and applies its decisions.
 
 use std::time::Duration;
 
@@ -8,27 +8,27 @@
 use crate::{effect, entry, ledger};
 
 impl ledger::QuotaLedger {
-    pub(super) fn on_verdict(
+    pub(super) fn on_decision(
         &mut self,
         now: time::NodeTime,
         from: ident::NodeId,
-        verdict: quota::UsageDecision,
+        decision: quota::UsageDecision,
         out: &mut Vec<effect::QuotaEffect>,
     ) {
-        let Some(entry) = self.entries.get_mut(verdict.account) else {
+        let Some(entry) = self.entries.get_mut(decision.account) else {
             return;
         };
-        if let Some(hint) = verdict.redirect {
-            if entry.matches_session(from, verdict) {
-                self.use_hinted_home(now, verdict.account, hint);
+        if let Some(hint) = decision.redirect {
+            if entry.matches_session(from, decision) {
+                self.use_hinted_home(now, decision.account, hint);
             }
             return;
         }
-        if entry.is_outdated(from, verdict) {
-            self.begin_session(now, verdict.account, Some(from));
+        if entry.is_outdated(from, decision) {
+            self.begin_session(now, decision.account, Some(from));
             return;
         }
-        for effect in entry.apply_verdict(now, from, verdict) {
+        for effect in entry.apply_decision(now, from, decision) {
             match effect {
                 effect::QuotaEffect::Grant { .. } => self.counters.granted_by_home += 1,
                 effect::QuotaEffect::Refuse { .. } => self.counters.refused += 1,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Decides locally the requests that waited for the verdict of a node that is no longer the
+    /// Decides locally the requests that waited for the decision of a node that is no longer the
     /// home.
     pub(super) fn decide_waiting(
         &mut self,
@@ -123,7 +123,7 @@
             ledger::HomeLocation::Unreachable => None,
         };
         let entry = self.entry(now, account);
-        entry.note_stand_in(stands_in);
+        entry.set_stand_in(stands_in);
         if entry.home != home {
             self.begin_session(now, account, home);
         }
@@ -151,8 +151,8 @@
         }
     }
 
-    /// Retries a silent home that another node has received a message from; returns whether it
-    /// does.
+    /// Retries a silent home from which another node has received messages; returns whether it is
+    /// retried.
     ///
     /// If a home is silent for a moment, some entry nodes would use the next node for seconds while
     /// others use the home, and both would admit the whole rate. A home that only some nodes can
--- a/crates/anvil_quota/src/ledger/home_role.rs
+++ b/crates/anvil_quota/src/ledger/home_role.rs
@@ -16,30 +16,28 @@
         uses: &[quota::UsageReport],
         out: &mut Vec<effect::QuotaEffect>,
     ) {
-        let mut verdicts = Vec::with_capacity(uses.len());
+        let mut decisions = Vec::with_capacity(uses.len());
         for report in uses {
             // This node does not know the account: its rules are older, so it does not answer.
             let Some(size) = self.size(report.account) else {
                 continue;
             };
-            if let Some(verdict) = self.redirect_to_home(now, *report) {
-                verdicts.push(verdict);
+            if let Some(decision) = self.redirect_to_home(now, *report) {
+                decisions.push(decision);
                 continue;
             }
             let home = self.prepare_home(now, report.account, size);
-            verdicts.extend(home.report(now, size, from, *report));
+            decisions.extend(home.report(now, size, from, *report));
             self.revoke_ahead(report.account, out);
         }
-        if !verdicts.is_empty() {
-            let message = quota::QuotaMessage::Decision {
-                decisions: verdicts,
-            };
+        if !decisions.is_empty() {
+            let message = quota::QuotaMessage::Decision { decisions };
             self.send(from.1, message, out);
         }
     }
 
-    /// A verdict that names the home of an account, if this node is not the home and need not stand
-    /// in for it.
+    /// A decision that names the home of an account, if this node is not the home and need not
+    /// stand in for it.
     fn redirect_to_home(
         &self,
         now: time::NodeTime,
@@ -94,15 +92,9 @@
         let Some(home) = self.homes.get_mut(account) else {
             return;
         };
-        for (to, verdict) in home.revoke_ahead(size, account) {
-            let verdicts = vec![verdict];
-            self.send(
-                to,
-                quota::QuotaMessage::Decision {
-                    decisions: verdicts,
-                },
-                out,
-            );
+        for (to, decision) in home.revoke_ahead(size, account) {
+            let decisions = vec![decision];
+            self.send(to, quota::QuotaMessage::Decision { decisions }, out);
         }
     }
 
--- a/crates/anvil_quota/tests/fleet/mod.rs
+++ b/crates/anvil_quota/tests/fleet/mod.rs
@@ -36,8 +36,8 @@
     /// All processes crash at the same time; new ones start in their places a second later and
     /// discover each other gradually.
     KillAll,
-    /// Like `KillAll`, but each process knows half of the others at first and the rest within 2.5
-    /// s.
+    /// Like `KillAll`, but each process knows half of the others at first and the rest within
+    /// 2.5 s.
     KillAllBlind,
     /// Like `KillAll`, but each process knows a few of the others at first and the rest within 5 s.
     KillAllScattered,
--- a/crates/anvil_quota/tests/fleet/tally.rs
+++ b/crates/anvil_quota/tests/fleet/tally.rs
@@ -37,7 +37,7 @@
     pub(crate) datagrams: usize,
     /// Bytes of the datagrams, without the overhead of authentication and addresses.
     pub(crate) bytes: usize,
-    /// Waits for a home's verdict, in microseconds, sorted; zero if there was no wait.
+    /// Waits for a home's decision, in microseconds, sorted; zero if there was no wait.
     pub(crate) waits: Vec<u64>,
 }
 
--- a/crates/anvil_quota/tests/waiting.rs
+++ b/crates/anvil_quota/tests/waiting.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for the verdict of a home that becomes unavailable.
+//! Requests that wait for the decision of a home that becomes unavailable.
 
 use std::net::SocketAddr;
 
